--- a/bench/choice_bench.cpp
+++ b/bench/choice_bench.cpp
@@ -1,4 +1,5 @@
-// What a decision costs by servers known and calls in flight: a call taken, sent and reported, and a wake with nothing due.
+// What a decision costs by servers known and calls in flight: a call taken, sent and reported, and a wake
+// with nothing due.
 #include <benchmark/benchmark.h>
 
 #include "robinpin/choice.h"
@@ -25,7 +26,8 @@
   }
   Node(int servers, int in_flight) : b(terms(), 7, now) {
     std::vector<Line> lines;
-    for (int i = 0; i < servers; ++i) lines.push_back({"server-" + std::to_string(i), "", "", 0, 1, standing::serving, 0});
+    for (int i = 0; i < servers; ++i)
+      lines.push_back({"server-" + std::to_string(i), "", "", 0, 1, standing::serving, 0});
     b.list_told(now, lines, true);
     for (int i = 0; i < 300; ++i) report(take());
     for (int i = 0; i < in_flight; ++i) out.push_back(take());
--- a/bench/consensus_explore.cpp
+++ b/bench/consensus_explore.cpp
@@ -1,4 +1,5 @@
-// Exploration of src/consensus at length: every order of small cases, and drawn orders of larger ones. Not part of the tests:
+// Exploration of src/consensus at length: every order of small cases, and drawn orders of larger ones. Not
+// part of the tests:
 //   consensus_explore [most states of a case] [drawn plays of a case]
 #include <chrono>
 #include <cstdio>
@@ -17,8 +18,10 @@
   const auto begun = std::chrono::steady_clock::now();
   const Found f = look();
   const double took = std::chrono::duration<double>(std::chrono::steady_clock::now() - begun).count();
-  std::printf("%-44s %10llu states, depth %3d, %s, %llu with a value chosen, %.1f s%s%s\n", name, (unsigned long long)f.states, f.depth,
-              f.complete ? "all" : "not all", (unsigned long long)f.chosen_states, took, f.broken.empty() ? "" : "  BROKEN: ", f.broken.c_str());
+  std::printf("%-44s %10llu states, depth %3d, %s, %llu with a value chosen, %.1f s%s%s\n", name,
+              (unsigned long long)f.states, f.depth, f.complete ? "all" : "not all",
+              (unsigned long long)f.chosen_states, took,
+              f.broken.empty() ? "" : "  BROKEN: ", f.broken.c_str());
   for (const auto& step : f.trace) std::printf("    %s\n", step.c_str());
   std::fflush(stdout);
   broken += f.broken.empty() ? 0 : 1;
@@ -29,7 +32,8 @@
 int main(int argc, char** argv) {
   const std::uint64_t most = argc > 1 ? std::strtoull(argv[1], nullptr, 10) : 2'000'000;
   const int plays = argc > 2 ? std::atoi(argv[2]) : 20'000;
-  const Want first{wish::write, "r", 0, "t", ""}, second{wish::write, "r", 1, "t", ""}, reads{wish::read, "r", 0, "", ""};
+  const Want first{wish::write, "r", 0, "t", ""}, second{wish::write, "r", 1, "t", ""},
+      reads{wish::read, "r", 0, "", ""};
   const std::vector<Seat> abd{{"A", "A", "A"}, {"B", "B", "B"}, {"D", "D", "D"}};
   const std::vector<Seat> ade{{"A", "A", "A"}, {"D", "D", "D"}, {"E", "E", "E"}};
   Case c;
--- a/bench/fleet_members.cpp
+++ b/bench/fleet_members.cpp
@@ -1,4 +1,5 @@
-// Members of a fleet played in one process over the real talk: what a voter pays for them. Not part of the tests:
+// Members of a fleet played in one process over the real talk: what a voter pays for them. Not part of the
+// tests:
 //   fleet_members FLEET ADDRESS:PORT PID MEMBERS BEAT_MS SECONDS
 // PID is the voter's; its processor and memory are read from /proc.
 #include <fmt/format.h>
@@ -27,7 +28,8 @@
   std::getline(file, line);
   std::istringstream rest(line.substr(std::min(line.size(), line.rfind(')') + 2)));
   std::vector<std::string> words{std::istream_iterator<std::string>(rest), {}};
-  return words.size() < 13 ? 0 : (std::stod(words[11]) + std::stod(words[12])) / double(::sysconf(_SC_CLK_TCK));
+  return words.size() < 13 ? 0
+                           : (std::stod(words[11]) + std::stod(words[12])) / double(::sysconf(_SC_CLK_TCK));
 }
 
 double mib_of(int pid) {
@@ -70,7 +72,13 @@
   asio::io_context io(1);
   node::Sockets sockets(4096);
   for (int n = 0; n < members; ++n)
-    asio::co_spawn(io, member(io, std::make_shared<peer::Caller>(io, sockets, peer::Who{argv[1], fmt::format("played-{}", n), "1"}, node::endpoint_of(argv[2])), n, micros(std::atoi(argv[5])) * 1000), asio::detached);
+    asio::co_spawn(io,
+                   member(io,
+                          std::make_shared<peer::Caller>(io, sockets,
+                                                         peer::Who{argv[1], fmt::format("played-{}", n), "1"},
+                                                         node::endpoint_of(argv[2])),
+                          n, micros(std::atoi(argv[5])) * 1000),
+                   asio::detached);
   io.run_for(2s);  // all are connected
   answered = missed = 0;
   took.clear();
@@ -79,8 +87,10 @@
   io.run_for(std::chrono::seconds(std::atoi(argv[6])));
   const double span = std::chrono::duration<double>(steady::now() - begun).count();
   std::sort(took.begin(), took.end());
-  fmt::print("{} members: {:.4f} of a core, {:.1f} MiB, {:.0f} beats a second answered, {} missed, p50 {:.2f} ms, p99 {:.2f} ms\n", members,
-             (cpu_of(pid) - before) / span, mib_of(pid), double(answered) / span, missed, took.empty() ? 0 : took[took.size() / 2],
-             took.empty() ? 0 : took[took.size() * 99 / 100]);
+  fmt::print(
+      "{} members: {:.4f} of a core, {:.1f} MiB, {:.0f} beats a second answered, {} missed, p50 {:.2f} ms, "
+      "p99 {:.2f} ms\n",
+      members, (cpu_of(pid) - before) / span, mib_of(pid), double(answered) / span, missed,
+      took.empty() ? 0 : took[took.size() / 2], took.empty() ? 0 : took[took.size() * 99 / 100]);
   return 0;
 }
--- a/bench/limits_bench.cpp
+++ b/bench/limits_bench.cpp
@@ -29,12 +29,14 @@
 
 // Routes as a large house would have them: a path each, some for one scheme or tenant.
 std::string file(int routes) {
-  std::string text = "[clients]\npatience = \"4s\"\nretries = 2\nwait = \"100ms\"\n[defaults]\npostings = 2\n";
+  std::string text =
+      "[clients]\npatience = \"4s\"\nretries = 2\nwait = \"100ms\"\n[defaults]\npostings = 2\n";
   for (int i = 0; i < routes; ++i)
-    text += fmt::format("[[route]]\nname = \"r{0}\"\npath = \"/api/v{1}/service-{0}/calls\"\n{2}{3}posting_timeout = "
-                        "\"{4}ms\"\nin_flight = {5}\nrate = {5}.5\nburst = 10\n",
-                        i, i % 7, i % 3 == 0 ? "scheme = \"view\"\n" : "",
-                        i % 5 == 0 ? fmt::format("tenant = \"t{}\"\n", i % 20) : "", 200 + i % 300, 10 + i);
+    text += fmt::format(
+        "[[route]]\nname = \"r{0}\"\npath = \"/api/v{1}/service-{0}/calls\"\n{2}{3}posting_timeout = "
+        "\"{4}ms\"\nin_flight = {5}\nrate = {5}.5\nburst = 10\n",
+        i, i % 7, i % 3 == 0 ? "scheme = \"view\"\n" : "",
+        i % 5 == 0 ? fmt::format("tenant = \"t{}\"\n", i % 20) : "", 200 + i % 300, 10 + i);
   return text;
 }
 
@@ -43,7 +45,8 @@
   const int n = int(state.range(0));
   const limits::Table table(config::routes(config::read("f", file(n)).file, h));
   std::vector<std::string> paths;
-  for (int i = 0; i < 64; ++i) paths.push_back(fmt::format("/api/v{}/service-{}/calls/{}", (i * 37 % n) % 7, i * 37 % n, i));
+  for (int i = 0; i < 64; ++i)
+    paths.push_back(fmt::format("/api/v{}/service-{}/calls/{}", (i * 37 % n) % 7, i * 37 % n, i));
   std::size_t i = 0;
   for (auto _ : state) {
     benchmark::DoNotOptimize(table.find({int(i % 3), int(i % 20), "GET", paths[i % 64]}));
@@ -52,7 +55,8 @@
 }
 BENCHMARK(look_up)->Arg(1)->Arg(100)->Arg(1000);
 
-// All routes at one path, told apart by nothing but scheme, tenant and method; and a path's prefixes all routes.
+// All routes at one path, told apart by nothing but scheme, tenant and method; and a path's prefixes all
+// routes.
 void look_up_worst(benchmark::State& state) {
   std::vector<limits::Route> routes;
   std::string path;
@@ -74,7 +78,8 @@
   const auto h = house();
   const limits::Table table(config::routes(config::read("f", file(1000)).file, h));
   micros now = 1;
-  for (auto _ : state) benchmark::DoNotOptimize(table.take({0, 3, "GET", "/api/v1/service-8/calls"}, now += 1000));
+  for (auto _ : state)
+    benchmark::DoNotOptimize(table.take({0, 3, "GET", "/api/v1/service-8/calls"}, now += 1000));
 }
 BENCHMARK(take);
 
@@ -106,9 +111,11 @@
 BENCHMARK(records_off);
 
 void records_on(benchmark::State& state) {
-  const std::string path = std::filesystem::temp_directory_path() / fmt::format("robinpin-bench-{}.jsonl", ::getpid());
+  const std::string path =
+      std::filesystem::temp_directory_path() / fmt::format("robinpin-bench-{}.jsonl", ::getpid());
   {
-    records::Facts f({path, 64UL << 20, 1, 1 << 20, 200'000}, "n1", [] { return micros(0); }, [](const std::string&) {});
+    records::Facts f(
+        {path, 64UL << 20, 1, 1 << 20, 200'000}, "n1", [] { return micros(0); }, [](const std::string&) {});
     f.names({"view-calendar"}, {"choir"});
     const std::string id = "9b1f03aa5c7e2d41", server = "s-5be2a07c";
     for (auto _ : state) txn_facts(f, id, server);
--- a/bench/node_load.cpp
+++ b/bench/node_load.cpp
@@ -1,6 +1,7 @@
-// A node's throughput on one core and the latency that it adds, on loopback: this process is its clients and its
-// servers, the node a child pinned to one core. Usage: node_load NODE-COMMAND [rate] [seconds] [connections]; rate 0:
-// as fast as the connections ask. Prints one line: txns a second, p50 and p99 in microseconds, declined, failed.
+// A node's throughput on one core and the latency that it adds, on loopback: this process is its clients and
+// its servers, the node a child pinned to one core. Usage: node_load NODE-COMMAND [rate] [seconds]
+// [connections]; rate 0: as fast as the connections ask. Prints one line: txns a second, p50 and p99 in
+// microseconds, declined, failed.
 #include <fcntl.h>
 #include <fmt/format.h>
 #include <sched.h>
@@ -40,7 +41,8 @@
     const auto n = co_await asio::async_read_until(s, asio::dynamic_buffer(in), "\r\n\r\n",
                                                    asio::redirect_error(use_awaitable, error));
     in.erase(0, n);
-    if (!error) co_await asio::async_write(s, asio::buffer(answer), asio::redirect_error(use_awaitable, error));
+    if (!error)
+      co_await asio::async_write(s, asio::buffer(answer), asio::redirect_error(use_awaitable, error));
   }
 }
 
@@ -48,7 +50,8 @@
   for (;;) asio::co_spawn(a.get_executor(), serve(co_await a.async_accept(use_awaitable)), asio::detached);
 }
 
-// One client; its sends are due at times of their own, and an answer's time counts from when its send was due.
+// One client; its sends are due at times of their own, and an answer's time counts from when its send was
+// due.
 awaitable<void> ask(tcp::endpoint to, int me, std::chrono::nanoseconds every, steady::time_point from,
                     steady::time_point until, Figures& f) {
   tcp::socket s(co_await asio::this_coro::executor);
@@ -70,7 +73,8 @@
       co_await s.async_connect(to, asio::redirect_error(use_awaitable, error));
       if (!error) s.set_option(tcp::no_delay(true), error);
     }
-    if (!error) co_await asio::async_write(s, asio::buffer(request), asio::redirect_error(use_awaitable, error));
+    if (!error)
+      co_await asio::async_write(s, asio::buffer(request), asio::redirect_error(use_awaitable, error));
     std::size_t head = 0;
     if (!error)
       head = co_await asio::async_read_until(s, asio::dynamic_buffer(in), "\r\n\r\n",
@@ -153,7 +157,8 @@
   const auto run = [&](Figures& to, double s, int first) {
     const auto begun = steady::now(), until = begun + std::chrono::microseconds(std::int64_t(s * 1e6));
     for (int c = 0; c < connections; ++c)
-      asio::co_spawn(clients, ask(at, first + c, every, begun + every * c / connections, until, to), asio::detached);
+      asio::co_spawn(clients, ask(at, first + c, every, begun + every * c / connections, until, to),
+                     asio::detached);
     clients.restart();
     clients.run();
     return std::chrono::duration<double>(steady::now() - begun).count();
@@ -166,8 +171,10 @@
   servers.stop();
   serving.join();
   std::sort(f.us.begin(), f.us.end());
-  const auto q = [&](double p) { return f.us.empty() ? 0.0 : f.us[std::min(f.us.size() - 1, std::size_t(p * double(f.us.size())))]; };
-  fmt::print("txns/s {:.0f}  p50 {:.0f} us  p99 {:.0f} us  declined {}  failed {}\n", double(f.settled) / took, q(0.5),
-             q(0.99), f.declined, f.failed);
+  const auto q = [&](double p) {
+    return f.us.empty() ? 0.0 : f.us[std::min(f.us.size() - 1, std::size_t(p * double(f.us.size())))];
+  };
+  fmt::print("txns/s {:.0f}  p50 {:.0f} us  p99 {:.0f} us  declined {}  failed {}\n",
+             double(f.settled) / took, q(0.5), q(0.99), f.declined, f.failed);
   return f.settled > 0 ? 0 : 1;
 }
--- a/bench/trove_figures.cpp
+++ b/bench/trove_figures.cpp
@@ -1,13 +1,13 @@
-// What the disk under the core costs: trove_figures FOLDER. Puts synced and in time, opening, and the size of a store whose
-// names are set and let go of for long. Not a test.
+// What the disk under the core costs: trove_figures FOLDER. Puts synced and in time, opening, and the size of
+// a store whose names are set and let go of for long. Not a test.
 #include <algorithm>
+#include <boost/leaf/handle_errors.hpp>
 #include <chrono>
 #include <cstdio>
 #include <cstdlib>
 #include <filesystem>
 #include <fstream>
 #include <random>
-#include <boost/leaf/handle_errors.hpp>
 #include <string>
 #include <vector>
 
@@ -17,7 +17,9 @@
 
 using robinpin::trove::Trove;
 using Clock = std::chrono::steady_clock;
-double since(Clock::time_point begun) { return std::chrono::duration<double, std::milli>(Clock::now() - begun).count(); }
+double since(Clock::time_point begun) {
+  return std::chrono::duration<double, std::milli>(Clock::now() - begun).count();
+}
 
 double resident() {  // MB
   std::ifstream in("/proc/self/statm");
@@ -51,7 +53,8 @@
 
 std::mt19937 chance(1);
 std::string text() {  // some 200 bytes, half of them like any other's
-  std::string s = R"({"authority":"a.example","path_prefix":"/p/","mode":"idempotent","deadline":"4000ms","target":")";
+  std::string s =
+      R"({"authority":"a.example","path_prefix":"/p/","mode":"idempotent","deadline":"4000ms","target":")";
   for (int i = 0; i < 100; ++i) s += char(chance());
   return s;
 }
@@ -67,7 +70,8 @@
   }
   std::sort(us.begin(), us.end());
   const auto at = [&](double part) { return us[std::size_t(part * double(us.size() - 1))]; };
-  std::printf("%s: %d puts, us: p50 %.0f, p99 %.0f, p99.9 %.0f, most %.0f\n", what, puts, at(0.5), at(0.99), at(0.999), us.back());
+  std::printf("%s: %d puts, us: p50 %.0f, p99 %.0f, p99.9 %.0f, most %.0f\n", what, puts, at(0.5), at(0.99),
+              at(0.999), us.back());
 }
 
 }  // namespace
@@ -88,8 +92,10 @@
     auto t = opened(at);
     const double ms = since(begun);
     const auto all = must([&] { return t->all(); });
-    std::printf("%zu records: open %.1f ms, then all %.1f ms, %.2f MB on disk, %.1f MB more resident with all of them\n", all.size(), ms, since(begun) - ms, double(bytes(*t)) / 1e6,
-                resident() - before);
+    std::printf(
+        "%zu records: open %.1f ms, then all %.1f ms, %.2f MB on disk, %.1f MB more resident with all of "
+        "them\n",
+        all.size(), ms, since(begun) - ms, double(bytes(*t)) / 1e6, resident() - before);
   }
   {
     auto t = opened(folder + "/changes");
@@ -99,11 +105,17 @@
     for (std::size_t i = 1; i <= 100'000; ++i) {
       Trove::Batch batch;
       const std::string n = name(chance() % 2'000);
-      if (chance() % 3 == 0) batch.drop.push_back(n);
-      else batch.put.emplace_back(n, text());
+      if (chance() % 3 == 0)
+        batch.drop.push_back(n);
+      else
+        batch.put.emplace_back(n, text());
       put(*t, batch, i % 10 == 0 ? Trove::lasting::synced : Trove::lasting::in_time);
-      if (i % 100 == 0) most = std::max(most, bytes(*t)), most_resident = std::max(most_resident, resident() - before);
-      if (i % 25'000 == 0) std::printf("%zu changes over 2000 names: %.2f MB on disk, at most %.2f; %.1f MB more resident at most\n", i, double(bytes(*t)) / 1e6, double(most) / 1e6, most_resident);
+      if (i % 100 == 0)
+        most = std::max(most, bytes(*t)), most_resident = std::max(most_resident, resident() - before);
+      if (i % 25'000 == 0)
+        std::printf(
+            "%zu changes over 2000 names: %.2f MB on disk, at most %.2f; %.1f MB more resident at most\n", i,
+            double(bytes(*t)) / 1e6, double(most) / 1e6, most_resident);
     }
     std::size_t standing = 0;
     for (const auto& [k, v] : must([&] { return t->all(); })) standing += k.size() + v.size();
@@ -120,6 +132,7 @@
       put(*t, batch, Trove::lasting::in_time);
       if (i % 100 == 0) most = std::max(most, bytes(*t));
     }
-    std::printf("200000 names set once and let go of 1000 later: %.2f MB on disk, at most %.2f\n", double(bytes(*t)) / 1e6, double(most) / 1e6);
+    std::printf("200000 names set once and let go of 1000 later: %.2f MB on disk, at most %.2f\n",
+                double(bytes(*t)) / 1e6, double(most) / 1e6);
   }
 }
--- a/include/robinpin/asking.h
+++ b/include/robinpin/asking.h
@@ -1,9 +1,10 @@
-// When a node asks for its list, and what of an answer it takes. Free of I/O and clocks: called with the time and
-// with a draw of chance (from 0 to under 1), answers by value. Times in microseconds.
+// When a node asks for its list, and what of an answer it takes. Free of I/O and clocks: called with the time
+// and with a draw of chance (from 0 to under 1), answers by value. Times in microseconds.
 //
-// A hundred nodes that start, or that lose discovery, in one moment ask at moments of their own: the first call
-// comes within `first_spread` of AskEvery, each call after a failure within half to one and a half of a wait that
-// doubles, and never later than `longest` of AskEvery, for what changes in between counts as told after that time.
+// A hundred nodes that start, or that lose discovery, in one moment ask at moments of their own: the first
+// call comes within `first_spread` of AskEvery, each call after a failure within half to one and a half of a
+// wait that doubles, and never later than `longest` of AskEvery, for what changes in between counts as told
+// after that time.
 #pragma once
 
 #include <algorithm>
@@ -38,7 +39,8 @@
   bool whole = false;
 };
 
-// Of an older version only the bad news holds: a server that drains or is gone. That it serves may be long past.
+// Of an older version only the bad news holds: a server that drains or is gone. That it serves may be long
+// past.
 enum class taking { all, bad_news };
 
 class Versions {
@@ -47,7 +49,9 @@
   // The version to ask after; 0: for the whole list.
   std::int64_t after() const { return doubted_ ? 0 : known_; }
   std::int64_t known() const { return known_; }
-  void doubt() { doubted_ = known_ > 0; }  // the whole list next, whatever is known: a watch has no answer while nothing is newer
+  void doubt() {
+    doubted_ = known_ > 0;
+  }  // the whole list next, whatever is known: a watch has no answer while nothing is newer
   void forget() { *this = Versions(); }  // they may be counted anew elsewhere
 
  private:
@@ -55,8 +59,8 @@
   bool doubted_ = false;  // the last answer was older: a second one means that versions are counted anew
 };
 
-// How long to wait before the next call of a watch. Answers that come at once, again and again, would have the node
-// ask as fast as it can; a watch lasts as long as the next call comes within 200 ms.
+// How long to wait before the next call of a watch. Answers that come at once, again and again, would have
+// the node ask as fast as it can; a watch lasts as long as the next call comes within 200 ms.
 class Pace {
  public:
   micros pause(micros asked, micros answered, double chance);
--- a/include/robinpin/choice.h
+++ b/include/robinpin/choice.h
@@ -79,9 +79,11 @@
   double tip_multiple = 1;
   micros tip_window = 0;
   micros resend_span = 0;  // in any such span a node may make free_resends further postings ...
-  double free_resends = 0, extra_share = 0;  // ... and this share of the txns that it took in it; 0: no such rule
+  double free_resends = 0,
+         extra_share = 0;  // ... and this share of the txns that it took in it; 0: no such rule
   double price_crossing = 0;
-  double rank_crossing = 0;  // by so much, in parts of F(b), a server abroad ranks lower, times the txn's own `crossing`
+  double rank_crossing =
+      0;  // by so much, in parts of F(b), a server abroad ranks lower, times the txn's own `crossing`
   bool operator==(const Terms&) const = default;
 };
 
@@ -98,8 +100,9 @@
   }
 };
 
-// Txns taken and further postings over a span, in slots: its memory does not grow with traffic. The slot that the span
-// begins in counts for the postings and not for the txns, so that no edge of a slot lets one more through.
+// Txns taken and further postings over a span, in slots: its memory does not grow with traffic. The slot that
+// the span begins in counts for the postings and not for the txns, so that no edge of a slot lets one more
+// through.
 struct Tally {
   static constexpr std::int64_t slots = 32;
   struct Slot {
@@ -135,8 +138,8 @@
   repeats kind = repeats::repeatable;
   group within = group::all;
   int postings = 1 << 30;
-  micros wait = 0;  // of one posting for its answer; 0: until the client gives up
-  group known_in = group::all;   // where servers know its mark again, as told before
+  micros wait = 0;                  // of one posting for its answer; 0: until the client gives up
+  group known_in = group::all;      // where servers know its mark again, as told before
   micros memory = micros(1) << 60;  // and for how long
   bool two_at_once = true;
   micros copy_after = 0;         // of silence, before a second copy; 0: by what answers take
@@ -299,7 +302,7 @@
   micros sla = 0;  // the moment it ends
   double cost = 1;
   micros ready_at = -(micros(1) << 60);  // servers asked are waited for until then
-  double luck = 0;  // from 0 to under 1, drawn once
+  double luck = 0;                       // from 0 to under 1, drawn once
   bool in_share = true;
   bool streaming = false;  // its answer has begun: the client's, without expiry
   bool coming = false;     // its own bytes are
@@ -318,8 +321,8 @@
 
 enum class list_call { none, watch };
 
-// Why a txn was given up: not let in as answers are slow, no answer foreseen in time, no room, waited too long for
-// room, no further posting allowed, may have run and may not run again, or its time is up.
+// Why a txn was given up: not let in as answers are slow, no answer foreseen in time, no room, waited too
+// long for room, no further posting allowed, may have run and may not run again, or its time is up.
 enum class cause { slow, foreseen, no_room, waited, spent, may_have_run, late };
 
 struct Decisions {
@@ -369,8 +372,8 @@
     }
     return run();
   }
-  // Of a txn's own bytes more have come, so long after what was heard of it before: until they are whole neither it nor
-  // its server is late, and the server does no work for it.
+  // Of a txn's own bytes more have come, so long after what was heard of it before: until they are whole
+  // neither it nor its server is late, and the server does no work for it.
   Decisions still_coming(micros at, const std::string& id, micros by, bool whole) {
     now = at;
     const auto it = txns.find(id);
@@ -396,7 +399,8 @@
     now = at;
     return run();
   }
-  // Other terms from now on, and back by the same step (src/adopt.cpp); terms that can't be taken on change nothing.
+  // Other terms from now on, and back by the same step (src/adopt.cpp); terms that can't be taken on change
+  // nothing.
   Decisions adopt(micros now, Terms next);
   // What of them can't be while it runs, by the platform's names; empty if all can.
   std::string bound_by(const Terms& next) const;
@@ -423,7 +427,8 @@
   int calls = 0;          // postings so far
   double fleet_size = 0;  // of the servers in service, the cold for what they can do
 
-  // What the rules are made of, by the file of src/choice/ that holds it; gate: every posting and final passes there.
+  // What the rules are made of, by the file of src/choice/ that holds it; gate: every posting and final
+  // passes there.
   bool may_post(const Txn& txn, const Server& server) const;
   bool may_decline(const Txn& txn) const;
   // A route may hold its txns for stricter than their scheme is, and allow them fewer further postings.
@@ -525,7 +530,7 @@
   std::deque<Unserved> unserved_;  // oldest first
   Decisions todo_;
   std::array<double, 2> ways_{};  // the least lag of a probe: away, at home
-  Mean at_home_, away_;  // parts of the usual latency
+  Mean at_home_, away_;           // parts of the usual latency
   std::array<std::vector<std::pair<std::uint32_t, Server*>>, 2>
       rings_;  // servers in service: at home, and elsewhere
   Mean all_latency_;
--- a/src/adopt.cpp
+++ b/src/adopt.cpp
@@ -1,5 +1,5 @@
-// The module takes on other terms while it runs: what it knows (servers, windows, calls in flight) is kept, and a txn
-// taken before ends by the stricter of both. It decides nothing about a txn: that is src/choice/.
+// The module takes on other terms while it runs: what it knows (servers, windows, calls in flight) is kept,
+// and a txn taken before ends by the stricter of both. It decides nothing about a txn: that is src/choice/.
 #include <utility>
 
 #include "robinpin/choice.h"
@@ -11,7 +11,8 @@
   const auto same = [&](bool is, const char* what) {
     if (!is) why += std::string(why.empty() ? "" : ", ") + what;
   };
-  same(next.schemes.size() >= terms.schemes.size(), "fewer rows of Schemes");  // numbers are kept: they only grow
+  same(next.schemes.size() >= terms.schemes.size(),
+       "fewer rows of Schemes");  // numbers are kept: they only grow
   same(next.allowances.size() >= terms.allowances.size(), "fewer rows of Tenants");
   same(next.tier == terms.tier && next.tiers == terms.tiers, "Tier or Stages");
   same(next.ask_list == terms.ask_list, "Discovery");
@@ -34,7 +35,8 @@
   }
   const micros width = bin_width;
   const int overrun = bins - 1;
-  if (next.resend_span != terms.resend_span) {  // other slots: all that was posted further counts as posted now
+  if (next.resend_span !=
+      terms.resend_span) {  // other slots: all that was posted further counts as posted now
     int further = 0;
     for (const auto& slot : tally.ring) further += slot.further;
     tally = {};
@@ -48,7 +50,8 @@
   for (auto& [id, s] : servers) {
     const auto held = std::exchange(s.window.bins, {});
     s.window.count.fill(0);
-    for (const int b : held) s.window.take(b == overrun ? bins - 1 : std::min(bin_of(b * width), bins - 2), int(held.size()));
+    for (const int b : held)
+      s.window.take(b == overrun ? bins - 1 : std::min(bin_of(b * width), bins - 2), int(held.size()));
   }
   draw_rings();
   build();
--- a/src/ambit/carry.cpp
+++ b/src/ambit/carry.cpp
@@ -13,15 +13,18 @@
 namespace {
 
 using namespace std::chrono_literals;
-constexpr std::size_t pace = 64 * 1024;       // bytes a second that a body comes at, at the least
+constexpr std::size_t pace = 64 * 1024;  // bytes a second that a body comes at, at the least
 constexpr std::chrono::seconds write_limit = 10s, body_limit = 10s, probe_limit = 1s, out_limit = 1s;
-constexpr micros unready_back = 300'000;      // when to come back to a node that is not ready
-constexpr micros closing_margin = 8'000;      // by which a server's time is shorter than its caller's: its word still gets here
+constexpr micros unready_back = 300'000;  // when to come back to a node that is not ready
+constexpr micros closing_margin =
+    8'000;  // by which a server's time is shorter than its caller's: its word still gets here
 constexpr std::string_view go_on = "HTTP/1.1 100 Continue\r\n\r\n";
-constexpr double usual_bytes = 10'000;        // of a request and its answer, which the module's term of a crossing goes by
-constexpr double most_crossing = 10;          // times that: a server of the own zone that answers in time at all goes first
-constexpr int bodies_part = 4;                // of this process's memory that bodies may take, as a divisor
-constexpr auto closes_idle_after = 2500ms;    // after SIGTERM: callers have been told by then
+constexpr double usual_bytes =
+    10'000;  // of a request and its answer, which the module's term of a crossing goes by
+constexpr double most_crossing =
+    10;                         // times that: a server of the own zone that answers in time at all goes first
+constexpr int bodies_part = 4;  // of this process's memory that bodies may take, as a divisor
+constexpr auto closes_idle_after = 2500ms;  // after SIGTERM: callers have been told by then
 
 Manners between_nodes() {
   Manners m;
@@ -39,8 +42,10 @@
   Watch(std::shared_ptr<Connection> c, std::shared_ptr<Source> source, std::function<void()> gone)
       : c_(std::move(c)), source_(std::move(source)), state_(std::make_shared<State>()) {
     state_->gone = std::move(gone);
-    if (source_) source_->whole = [this] { wait(); };
-    else wait();
+    if (source_)
+      source_->whole = [this] { wait(); };
+    else
+      wait();
   }
   ~Watch() {
     state_->over = true;
@@ -62,8 +67,10 @@
     c->socket.async_wait(tcp::socket::wait_read, [c, s](asio::error_code cancelled) {
       s->waits = false;
       if (s->over) return;
-      if (c->peer_gone()) s->gone();
-      else if (!cancelled && c->still()) wait(c, s);  // woken by what was read before
+      if (c->peer_gone())
+        s->gone();
+      else if (!cancelled && c->still())
+        wait(c, s);  // woken by what was read before
     });
   }
   std::shared_ptr<Connection> c_;
@@ -74,7 +81,9 @@
 // What bodies take of this process's memory, while one is at work. Shared: one at rest may outlive its node.
 class Share {
  public:
-  Share(std::shared_ptr<std::size_t> all, std::size_t mine) : all_(std::move(all)), mine_(mine) { *all_ += mine_; }
+  Share(std::shared_ptr<std::size_t> all, std::size_t mine) : all_(std::move(all)), mine_(mine) {
+    *all_ += mine_;
+  }
   ~Share() { *all_ -= mine_; }
   Share(const Share&) = delete;
   Share& operator=(const Share&) = delete;
@@ -86,7 +95,8 @@
 
 }  // namespace
 
-Carry::Carry(asio::io_context& io, const node::Clock& clock, Sockets& sockets, const ground::Settings& settings, Hand& hand, std::uint32_t seed)
+Carry::Carry(asio::io_context& io, const node::Clock& clock, Sockets& sockets,
+             const ground::Settings& settings, Hand& hand, std::uint32_t seed)
     : io_(io),
       clock_(clock),
       sockets_(sockets),
@@ -98,7 +108,8 @@
       chance_(seed),
       self_(span::machine_of(settings.ip)) {
   account_.bounds(settings.retry_window, settings.retry_ratio, settings.retry_slack, 1);
-  sockets.evict_by([this] { return std::any_of(ways_.begin(), ways_.end(), [](auto& w) { return w.second->evict(); }); });
+  sockets.evict_by(
+      [this] { return std::any_of(ways_.begin(), ways_.end(), [](auto& w) { return w.second->evict(); }); });
 }
 
 void Carry::plan(std::shared_ptr<const creed::Plan> plan) {
@@ -109,7 +120,8 @@
 
 void Carry::servers(const rumour::Roll& roll, std::int64_t now) {
   choices_.servers(roll, *plan_, now);
-  // Of what is free each of twice the nodes known has a part: some may be unknown here, and a new life begins anew.
+  // Of what is free each of twice the nodes known has a part: some may be unknown here, and a new life begins
+  // anew.
   account_.bounds(settings_.retry_window, settings_.retry_ratio, settings_.retry_slack, 2 * choices_.nodes());
   for (auto& [machine, w] : ways_)
     if (const rumour::Record* r = roll.find(machine); r && r->lapsed) w->forget();
@@ -119,7 +131,9 @@
   auto& w = ways_[m];
   if (!w) {
     const auto colon = settings_.ports.at("inbound").rfind(':');
-    w = std::make_unique<Way>(io_, sockets_, node::endpoint_of(span::text_of(m) + settings_.ports.at("inbound").substr(colon)), between_nodes());
+    w = std::make_unique<Way>(
+        io_, sockets_, node::endpoint_of(span::text_of(m) + settings_.ports.at("inbound").substr(colon)),
+        between_nodes());
   }
   return *w;
 }
@@ -158,10 +172,12 @@
   return a;
 }
 
-// The mark alone says that a request has not run: a server's own status makes no promise for one that may run once.
+// The mark alone says that a request has not run: a server's own status makes no promise for one that may run
+// once.
 Carry::Answer Carry::passed_on(const Fate& f, const Trip& t) {
   const bool promises = f.status == 408 || f.status == 429 || f.status == 503;
-  if (promises && t.channel->kind != creed::mode::idempotent) return own(502, "the server has not said that it did not run it");
+  if (promises && t.channel->kind != creed::mode::idempotent)
+    return own(502, "the server has not said that it did not run it");
   return passed_on(f);
 }
 
@@ -171,16 +187,19 @@
     // Limits as they stand at each request: the configuration may have changed.
     const creed::Bounds b = plan_->bounds;
     if (!c->in.begun()) {
-      c->limit(steady::now() + (first ? std::chrono::microseconds(b.header) : std::chrono::microseconds(b.idle)));
+      c->limit(steady::now() +
+               (first ? std::chrono::microseconds(b.header) : std::chrono::microseconds(b.idle)));
       if (!c->in.behind()) {
         asio::error_code gone;
-        co_await c->socket.async_wait(tcp::socket::wait_read, asio::redirect_error(asio::use_awaitable, gone));
+        co_await c->socket.async_wait(tcp::socket::wait_read,
+                                      asio::redirect_error(asio::use_awaitable, gone));
         if (gone) co_return;
       }
     }
     c->limit(steady::now() + std::chrono::microseconds(b.header));
     asio::error_code error;
-    const codec::reading got = c->in.whole() ? codec::reading::complete : co_await c->read(error, Source::kept, pace);
+    const codec::reading got =
+        c->in.whole() ? codec::reading::complete : co_await c->read(error, Source::kept, pace);
     if (error || got == codec::reading::unfinished) co_return;
     c->no_limit();
     Answer a;
@@ -189,7 +208,10 @@
     const bool read = got == codec::reading::complete || source;
     if (!read) {
       ++counts_.own_4xx;
-      a = own(got == codec::reading::body_too_long ? 413 : got == codec::reading::head_too_long ? 431 : 400, "the request can't be read");
+      a = own(got == codec::reading::body_too_long   ? 413
+              : got == codec::reading::head_too_long ? 431
+                                                     : 400,
+              "the request can't be read");
     } else {
       if (source && c->in.wants_word()) {
         std::size_t written = 0;
@@ -199,28 +221,37 @@
       const Share share(bodies_, source ? Source::kept : c->in.body().size());
       most_held_ = std::max(most_held_, *bodies_);
       ++pending_;
-      if (*bodies_ <= most_bodies_) a = co_await answer_to(c, source, gone);
-      else ++counts_.refused, a = own(503, "this node holds all it can", unready_back);
+      if (*bodies_ <= most_bodies_)
+        a = co_await answer_to(c, source, gone);
+      else
+        ++counts_.refused, a = own(503, "this node holds all it can", unready_back);
       --pending_;
-      while (source && source->pouring) co_await source->rest.async_wait(asio::redirect_error(asio::use_awaitable, error));
+      while (source && source->pouring)
+        co_await source->rest.async_wait(asio::redirect_error(asio::use_awaitable, error));
     }
     if (gone || !c->open()) co_return;
     const bool rest = source && !c->in.whole();
     const bool stays = read && !rest && c->in.keep_alive() && !ending_;
     c->limit(steady::now() + write_limit);
     const bool bare = a.status == 204 || a.status == 304;
-    const std::string head = fmt::format("HTTP/1.1 {} {}\r\n{}{}{}\r\n", a.status, port::phrase(a.status), a.headers,
-                                         bare ? "" : fmt::format("Content-Length: {}\r\n", a.body.size()), stays ? "" : "Connection: close\r\n");
+    const std::string head =
+        fmt::format("HTTP/1.1 {} {}\r\n{}{}{}\r\n", a.status, port::phrase(a.status), a.headers,
+                    bare ? "" : fmt::format("Content-Length: {}\r\n", a.body.size()),
+                    stays ? "" : "Connection: close\r\n");
     std::size_t written = 0;
-    error = co_await c->write(head, c->in.method() == "HEAD" ? std::string_view() : std::string_view(a.body), written);
+    error = co_await c->write(head, c->in.method() == "HEAD" ? std::string_view() : std::string_view(a.body),
+                              written);
     if (!error && rest) co_await read_out(*c);
     if (!error && !read) co_await c->see_out(out_limit);
     if (error || !stays) co_return;
-    if (const auto next = c->in.next(); next != codec::reading::unfinished && next != codec::reading::complete) co_return;
+    if (const auto next = c->in.next();
+        next != codec::reading::unfinished && next != codec::reading::complete)
+      co_return;
   }
 }
 
-awaitable<Carry::Answer> Carry::answer_to(std::shared_ptr<Connection> c, std::shared_ptr<Source> source, bool& gone) {
+awaitable<Carry::Answer> Carry::answer_to(std::shared_ptr<Connection> c, std::shared_ptr<Source> source,
+                                          bool& gone) {
   const codec::Message& m = c->in;
   const std::string id(m.header("X-Attempt-Id"));
   if (!codec::plain_word(id) || m.times("X-Attempt-Id") != 1 || !m.clean()) {
@@ -243,7 +274,9 @@
     co_return own(404, "no route");
   }
   const long long told = m.times("X-Remaining-Ms") > 0 ? codec::whole_number(m.header("X-Remaining-Ms")) : -1;
-  const micros left = told >= 0 ? std::min<micros>(t->channel->deadline, micros(std::min(told, 600'000LL)) * 1000) : t->channel->deadline;
+  const micros left = told >= 0
+                          ? std::min<micros>(t->channel->deadline, micros(std::min(told, 600'000LL)) * 1000)
+                          : t->channel->deadline;
   if (left <= closing_margin) {
     ++counts_.refused;
     co_return own(503, "no time is left");
@@ -258,7 +291,9 @@
   t->desk = choice->desk.get();
   if (auto& set = probing_[t->desk]; !set) {
     set = true;
-    t->desk->probes_by([this, desk = t->desk](const std::string& server) { asio::co_spawn(io_, probe(desk, server), asio::detached); });
+    t->desk->probes_by([this, desk = t->desk](const std::string& server) {
+      asio::co_spawn(io_, probe(desk, server), asio::detached);
+    });
   }
   t->parcel = std::make_shared<Parcel>();
   t->parcel->id = id;
@@ -267,8 +302,8 @@
   const std::string_view listed = m.header("Connection");
   for (std::size_t i = 0; i < m.headers(); ++i) {
     const auto [name, value] = m.header(i);
-    if (of_connection(name, listed) || of_mesh(name) || codec::same_name(name, instance_header) || codec::same_name(name, "X-Remaining-Ms") ||
-        codec::same_name(name, "X-Caller-Service"))
+    if (of_connection(name, listed) || of_mesh(name) || codec::same_name(name, instance_header) ||
+        codec::same_name(name, "X-Remaining-Ms") || codec::same_name(name, "X-Caller-Service"))
       continue;
     t->common += fmt::format("{}: {}\r\n", name, codec::trim(value));
   }
@@ -281,8 +316,10 @@
   taken.allowed.two_at_once = false;
   const double bytes = source ? double(m.told().value_or(Source::kept)) : double(m.body().size());
   taken.allowed.crossing = std::clamp(bytes / usual_bytes, 1.0, most_crossing);
-  t->aim_at = clock_.now() + std::max<micros>(0, t->channel->aim - std::max<micros>(0, t->channel->deadline - left));
-  t->visit = t->desk->take(fmt::format("{}", ++number_), row, -1, clock_.now(), left, 0, std::move(taken), {});
+  t->aim_at =
+      clock_.now() + std::max<micros>(0, t->channel->aim - std::max<micros>(0, t->channel->deadline - left));
+  t->visit =
+      t->desk->take(fmt::format("{}", ++number_), row, -1, clock_.now(), left, 0, std::move(taken), {});
   co_return co_await run(c, t, gone);
 }
 
@@ -318,11 +355,15 @@
       case node::Order::what::declined:
       case node::Order::what::reversed:
       case node::Order::what::gone:
-        ++endings_[fmt::format("{}:given up {}", t->service, *held_out ? "held out" : gone ? "caller gone" : node::cause_names[std::size_t(order.why)])];
+        ++endings_[fmt::format("{}:given up {}", t->service,
+                               *held_out ? "held out"
+                               : gone    ? "caller gone"
+                                         : node::cause_names[std::size_t(order.why)])];
         for (auto& [n, errand] : t->out) errand->call_off();
         if (*held_out) {
           ++counts_.refused;
-          co_return own(503, "no server can take it now", std::max<micros>(unready_back, t->channel->aim / 4));
+          co_return own(503, "no server can take it now",
+                        std::max<micros>(unready_back, t->channel->aim / 4));
         }
         if (gone) co_return Answer{};
         // A failure of a server's own, where nothing better came.
@@ -335,14 +376,16 @@
           co_return own(503, "no server has run it", std::max<micros>(100'000, order.come_back));
         }
         ++counts_.failed;
-        co_return own(clock_.now() >= t->visit->expiry - 2 * closing_margin ? 504 : 502, "a server may have run it, and no answer came");
+        co_return own(clock_.now() >= t->visit->expiry - 2 * closing_margin ? 504 : 502,
+                      "a server may have run it, and no answer came");
     }
   }
 }
 
 awaitable<void> Carry::post(trip t, node::Order order) {
   const auto errand = t->out[order.posting];
-  // Nothing is sent for a caller that has its answer (held out: a promise), however this coroutine comes to begin.
+  // Nothing is sent for a caller that has its answer (held out: a promise), however this coroutine comes to
+  // begin.
   if (t->visit->over()) {
     t->desk->report(t->visit, order.posting, ending::moot, 0, nullptr);
     co_return;
@@ -356,12 +399,17 @@
   }
   const micros begun = clock_.now(), left = t->visit->expiry - begun;
   auto parcel = std::make_shared<Parcel>(*t->parcel);
-  const gate::Gate::Asked asked{t->channel->deadline, std::max<micros>(0, t->aim_at - begun), left, source != nullptr, source ? double(source->from->in.told().value_or(Source::kept)) : 0};
-  parcel->headers = fmt::format("{}X-Remaining-Ms: {}\r\n{}: {}\r\n{}: {}\r\n{}: {}\r\n", t->common, std::max<micros>(1, (left - closing_margin) / 1000),
-                                instance_header, order.server, deadline_header, asked.deadline / 1000, aim_header, asked.to_aim / 1000);
+  const gate::Gate::Asked asked{t->channel->deadline, std::max<micros>(0, t->aim_at - begun), left,
+                                source != nullptr,
+                                source ? double(source->from->in.told().value_or(Source::kept)) : 0};
+  parcel->headers =
+      fmt::format("{}X-Remaining-Ms: {}\r\n{}: {}\r\n{}: {}\r\n{}: {}\r\n", t->common,
+                  std::max<micros>(1, (left - closing_margin) / 1000), instance_header, order.server,
+                  deadline_header, asked.deadline / 1000, aim_header, asked.to_aim / 1000);
   ++t->offered;
   if (repeat) ++counts_.further;
-  auto result = std::make_shared<Result>(co_await forward(errand, parcel, order.server, asked, clock_.at(t->visit->expiry)));
+  auto result = std::make_shared<Result>(
+      co_await forward(errand, parcel, order.server, asked, clock_.at(t->visit->expiry)));
   const micros lag = source ? result->fate.lag : clock_.now() - begun;
   // Who broke off is the caller: that tells nothing of the server, and it may be answered nothing any more.
   if (source && source->failed && !t->visit->over()) t->left();
@@ -376,7 +424,9 @@
       break;
     case outcome::held:
       ++counts_.held;
-      how = source && source->failed ? ending::withdrawn : result->why == "unreachable" ? ending::unreachable : ending::refused;
+      how = source && source->failed       ? ending::withdrawn
+            : result->why == "unreachable" ? ending::unreachable
+                                           : ending::refused;
       break;
     case outcome::refused:
       ++t->arrivals;
@@ -389,7 +439,9 @@
       break;
   }
   static constexpr const char* words[] = {"answered", "held", "refused", "unknown"};
-  ++endings_[fmt::format("{}:{} {}", t->service, words[int(result->how)], result->how == outcome::answered ? std::to_string(result->fate.status) : result->why)];
+  ++endings_[fmt::format(
+      "{}:{} {}", t->service, words[int(result->how)],
+      result->how == outcome::answered ? std::to_string(result->fate.status) : result->why)];
   t->done[order.posting] = result;
   const bool again = how != ending::settled && !t->visit->over();
   if (again && t->arrivals >= t->channel->tries) t->desk->no_further(t->visit);
@@ -397,8 +449,8 @@
   t->desk->report(t->visit, order.posting, how, std::max<micros>(1, lag), nullptr);
 }
 
-awaitable<Result> Carry::forward(std::shared_ptr<Errand> errand, std::shared_ptr<const Parcel> parcel, std::string server, gate::Gate::Asked asked,
-                                 steady::time_point until) {
+awaitable<Result> Carry::forward(std::shared_ptr<Errand> errand, std::shared_ptr<const Parcel> parcel,
+                                 std::string server, gate::Gate::Asked asked, steady::time_point until) {
   const rumour::Machine machine = choices_.machine(server);
   if (machine == self_) co_return co_await hand_.take(errand, parcel, std::move(server), asked, until);
   Result r;
@@ -415,9 +467,12 @@
     if (parcel->source && parcel->source->failed) co_return r;
     if (const auto w = ways_.find(machine); w != ways_.end()) w->second->forget();
   } else if (f.how_far == came::answered) {
-    if (const auto why = f.header(held_header); !why.empty()) r.how = outcome::held, r.why = why;
-    else if (const auto broke = f.header(broke_header); !broke.empty()) r.why = broke;
-    else r.how = !f.header("X-Not-Executed").empty() || f.status == 421 ? outcome::refused : outcome::answered;
+    if (const auto why = f.header(held_header); !why.empty())
+      r.how = outcome::held, r.why = why;
+    else if (const auto broke = f.header(broke_header); !broke.empty())
+      r.why = broke;
+    else
+      r.how = !f.header("X-Not-Executed").empty() || f.status == 421 ? outcome::refused : outcome::answered;
   } else {
     r.why = f.ran_out ? "late" : "broken";
   }
@@ -427,9 +482,12 @@
 namespace {
 
 gate::Gate::Asked asked_by(const codec::Message& m) {
-  const auto told = [&](std::string_view name) { return std::max<long long>(0, codec::whole_number(m.header(name))) * 1000; };
+  const auto told = [&](std::string_view name) {
+    return std::max<long long>(0, codec::whole_number(m.header(name))) * 1000;
+  };
   const bool comes = m.longer_than(Source::handed);
-  return {told(deadline_header), told(aim_header), told("X-Remaining-Ms"), comes, comes ? double(m.told().value_or(Source::kept)) : 0};
+  return {told(deadline_header), told(aim_header), told("X-Remaining-Ms"), comes,
+          comes ? double(m.told().value_or(Source::kept)) : 0};
 }
 
 }  // namespace
@@ -457,12 +515,16 @@
     c->limit(steady::now() + 60s);
     asio::error_code error;
     gate::held early = gate::held::none;
-    const codec::reading got = c->in.whole() ? codec::reading::complete : co_await read_inner(*c, error, early);
+    const codec::reading got =
+        c->in.whole() ? codec::reading::complete : co_await read_inner(*c, error, early);
     if (error) co_return;
     if (early != gate::held::none) {
       std::size_t written = 0;
-      co_await c->write(fmt::format("HTTP/1.1 503 Held\r\n{}: {}\r\nX-Attempt-Id: {}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", held_header,
-                                    gate::names[std::size_t(early)], c->in.header("X-Attempt-Id")), {}, written);
+      co_await c->write(
+          fmt::format("HTTP/1.1 503 Held\r\n{}: {}\r\nX-Attempt-Id: {}\r\nConnection: "
+                      "close\r\nContent-Length: 0\r\n\r\n",
+                      held_header, gate::names[std::size_t(early)], c->in.header("X-Attempt-Id")),
+          {}, written);
       co_return;
     }
     const auto source = got == codec::reading::longer ? std::make_shared<Source>(io_, c) : nullptr;
@@ -480,10 +542,12 @@
     const std::string_view listed = m.header("Connection");
     for (std::size_t i = 0; i < m.headers(); ++i) {
       const auto [name, value] = m.header(i);
-      if (!of_connection(name, listed) && !of_mesh(name)) parcel->headers += fmt::format("{}: {}\r\n", name, codec::trim(value));
+      if (!of_connection(name, listed) && !of_mesh(name))
+        parcel->headers += fmt::format("{}: {}\r\n", name, codec::trim(value));
     }
     parcel->source = source;
-    if (!source && m.has_body()) parcel->body = std::make_shared<const std::string>(m.body()), inner_bytes_ += m.body().size();
+    if (!source && m.has_body())
+      parcel->body = std::make_shared<const std::string>(m.body()), inner_bytes_ += m.body().size();
     Answer a;
     bool gone = false;
     ++pending_;
@@ -499,14 +563,19 @@
           gone = true;
           errand->call_off();
         });
-        r = co_await hand_.take(errand, parcel, std::move(instance), asked, steady::now() + std::chrono::microseconds(left + closing_margin));
+        r = co_await hand_.take(errand, parcel, std::move(instance), asked,
+                                steady::now() + std::chrono::microseconds(left + closing_margin));
       }
       if (r.how == outcome::answered || r.how == outcome::refused) {
         a = passed_on(r.fate);
-        if (r.fate.header("X-Attempt-Id").empty()) a.headers += fmt::format("X-Attempt-Id: {}\r\n", parcel->id);  // between nodes each answer has its name
+        if (r.fate.header("X-Attempt-Id").empty())
+          a.headers +=
+              fmt::format("X-Attempt-Id: {}\r\n", parcel->id);  // between nodes each answer has its name
       } else {
         a.status = r.how == outcome::held ? 503 : 502;
-        a.headers = fmt::format("{}: {}\r\nX-Attempt-Id: {}\r\n", r.how == outcome::held ? held_header : broke_header, r.why.empty() ? "broken" : r.why, parcel->id);
+        a.headers =
+            fmt::format("{}: {}\r\nX-Attempt-Id: {}\r\n", r.how == outcome::held ? held_header : broke_header,
+                        r.why.empty() ? "broken" : r.why, parcel->id);
       }
     }
     --pending_;
@@ -515,13 +584,16 @@
     const bool rest = source && !c->in.whole();
     const bool stays = !rest && c->in.keep_alive() && !ending_;
     c->limit(steady::now() + write_limit);
-    const std::string head = fmt::format("HTTP/1.1 {} {}\r\n{}Content-Length: {}\r\n{}\r\n", a.status, port::phrase(a.status), a.headers, a.body.size(),
-                                         stays ? "" : "Connection: close\r\n");
+    const std::string head =
+        fmt::format("HTTP/1.1 {} {}\r\n{}Content-Length: {}\r\n{}\r\n", a.status, port::phrase(a.status),
+                    a.headers, a.body.size(), stays ? "" : "Connection: close\r\n");
     std::size_t written = 0;
     error = co_await c->write(head, a.body, written);
     if (!error && rest) co_await read_out(*c);
     if (error || !stays) co_return;
-    if (const auto next = c->in.next(); next != codec::reading::unfinished && next != codec::reading::complete) co_return;
+    if (const auto next = c->in.next();
+        next != codec::reading::unfinished && next != codec::reading::complete)
+      co_return;
   }
 }
 
@@ -538,8 +610,10 @@
     parcel->method = "GET";
     parcel->target = "/";
     parcel->id = fmt::format("probe-{}", ++number_);
-    parcel->headers = fmt::format("Host: mesh\r\nX-Mesh-Probe: 1\r\nX-Attempt-Id: {}\r\n{}: {}\r\n", parcel->id, instance_header, server);
-    const Fate f = co_await way(machine).carry(std::make_shared<Errand>(), parcel, steady::now() + probe_limit);
+    parcel->headers = fmt::format("Host: mesh\r\nX-Mesh-Probe: 1\r\nX-Attempt-Id: {}\r\n{}: {}\r\n",
+                                  parcel->id, instance_header, server);
+    const Fate f =
+        co_await way(machine).carry(std::make_shared<Errand>(), parcel, steady::now() + probe_limit);
     good = f.how_far == came::answered && f.status == 200;
   }
   desk->probed(server, good, std::max<micros>(1, clock_.now() - begun));
--- a/src/ambit/carry.h
+++ b/src/ambit/carry.h
@@ -1,5 +1,5 @@
-// The callers' side of a node: takes their requests in, finds the route, asks the module for a server, forwards to the
-// node beside it, and answers. Every request ends here with exactly one answer.
+// The callers' side of a node: takes their requests in, finds the route, asks the module for a server,
+// forwards to the node beside it, and answers. Every request ends here with exactly one answer.
 #pragma once
 
 #include <functional>
@@ -21,13 +21,15 @@
 
 class Carry {
  public:
-  Carry(asio::io_context& io, const node::Clock& clock, Sockets& sockets, const ground::Settings& settings, Hand& hand, std::uint32_t seed);
+  Carry(asio::io_context& io, const node::Clock& clock, Sockets& sockets, const ground::Settings& settings,
+        Hand& hand, std::uint32_t seed);
 
   void plan(std::shared_ptr<const creed::Plan> plan);
   void servers(const rumour::Roll& roll, std::int64_t now);
   void ready(bool is) { ready_ = is, hand_.ready(is); }
-  // From now on every answer is the last on its connection, and idle ones are closed after a while. What comes from `refuses_from` on
-  // (microseconds of the node's clock) is not taken: it would be given up at the end, with its server at work.
+  // From now on every answer is the last on its connection, and idle ones are closed after a while. What
+  // comes from `refuses_from` on (microseconds of the node's clock) is not taken: it would be given up at the
+  // end, with its server at work.
   void ends(micros refuses_from);
   // What is still at work gets its answer by then.
   void end_by(micros at) { choices_.end_by(at); }
@@ -39,7 +41,8 @@
   awaitable<void> serve_inner(std::shared_ptr<Connection> c);  // another node's
 
   struct Counts {
-    std::uint64_t taken = 0, good = 0, failed = 0, refused = 0, further = 0, held = 0, own_4xx = 0, probes = 0;
+    std::uint64_t taken = 0, good = 0, failed = 0, refused = 0, further = 0, held = 0, own_4xx = 0,
+                  probes = 0;
   };
   const Counts& counts() const { return counts_; }
   std::uint64_t inner_bytes() const { return inner_bytes_; }  // of bodies that other nodes sent
@@ -47,7 +50,7 @@
   const std::map<std::string, std::uint64_t>& endings() const { return endings_; }
 
  private:
-  struct Trip {  // one request on its way
+  struct Trip {                      // one request on its way
     std::shared_ptr<Parcel> parcel;  // without the headers of one try
     std::string common;              // headers of every try
     const creed::Channel* channel = nullptr;
@@ -73,10 +76,10 @@
   awaitable<Answer> answer_to(std::shared_ptr<Connection> c, std::shared_ptr<Source> source, bool& gone);
   awaitable<Answer> run(std::shared_ptr<Connection> c, trip t, bool& gone);
   awaitable<void> post(trip t, node::Order order);
-  awaitable<Result> forward(std::shared_ptr<Errand> errand, std::shared_ptr<const Parcel> parcel, std::string server, gate::Gate::Asked asked,
-                            steady::time_point until);
-  // Reads another node's request; before a long body the gate is asked, and what it holds back is not sent at all.
-  // A body of more than `Source::handed` is left to be read on.
+  awaitable<Result> forward(std::shared_ptr<Errand> errand, std::shared_ptr<const Parcel> parcel,
+                            std::string server, gate::Gate::Asked asked, steady::time_point until);
+  // Reads another node's request; before a long body the gate is asked, and what it holds back is not sent at
+  // all. A body of more than `Source::handed` is left to be read on.
   awaitable<codec::reading> read_inner(Connection& c, asio::error_code& error, gate::held& held);
   awaitable<void> probe(node::Desk* desk, std::string server);
   Answer own(int status, std::string_view fault, micros come_back = 0);
@@ -97,7 +100,8 @@
   std::map<const node::Desk*, bool> probing_;
   std::list<std::weak_ptr<Connection>> callers_;
   const std::size_t most_bodies_;
-  std::shared_ptr<std::size_t> bodies_ = std::make_shared<std::size_t>(0);  // bytes of callers' bodies that are held
+  std::shared_ptr<std::size_t> bodies_ =
+      std::make_shared<std::size_t>(0);  // bytes of callers' bodies that are held
   std::size_t most_held_ = 0;
   std::mt19937 chance_;
   std::uint64_t number_ = 0;
--- a/src/ambit/choices.cpp
+++ b/src/ambit/choices.cpp
@@ -9,11 +9,13 @@
 constexpr int most_postings = 8;         // tries that were held back count there, and not in a route's tries
 constexpr double usual_part = 3;         // of an aim one call takes, where nothing tells
 constexpr double least_cold = 0.05;      // of a server's size
-// What a crossing between zones costs, as a part of what a call earns: the pages price it by bytes, dear on one site and
-// cheap on another, and tell processes nothing of it.
+// What a crossing between zones costs, as a part of what a call earns: the pages price it by bytes, dear on
+// one site and cheap on another, and tell processes nothing of it.
 constexpr double crossing = 0.1;
 
-std::tuple<int, micros, micros> key_of(const creed::Channel& c) { return {c.kind == creed::mode::idempotent ? 0 : 1, c.aim, c.deadline}; }
+std::tuple<int, micros, micros> key_of(const creed::Channel& c) {
+  return {c.kind == creed::mode::idempotent ? 0 : 1, c.aim, c.deadline};
+}
 }  // namespace
 
 Choices::Choice* Choices::of(const std::string& service) {
@@ -88,9 +90,11 @@
     line.zone = r.zone;
     line.size = std::max(1, r.slots) / slots_of_size_one;
     const auto service = plan.services.find(r.service);
-    // While cold it counts for what it bears; how many it gets a second its own gate sees to, which knows all senders.
+    // While cold it counts for what it bears; how many it gets a second its own gate sees to, which knows all
+    // senders.
     const auto choice = choices_.find(r.service);
-    if (micros(r.cold_ms) * 1000 > now - entry.heard && service != plan.services.end() && choice != choices_.end()) {
+    if (micros(r.cold_ms) * 1000 > now - entry.heard && service != plan.services.end() &&
+        choice != choices_.end()) {
       micros aim = 0;
       for (const scheme_row& row : choice->second.schemes) aim = std::max(aim, row.sla);
       const double bears = service->second.warmup_per_s * double(aim) / usual_part / 1e6;  // at once
--- a/src/ambit/choices.h
+++ b/src/ambit/choices.h
@@ -1,5 +1,5 @@
-// A desk with the decision module for each service that is called, fed with the mesh's knowledge: the rows of its terms
-// from the routes, its servers from the rumours.
+// A desk with the decision module for each service that is called, fed with the mesh's knowledge: the rows of
+// its terms from the routes, its servers from the rumours.
 #pragma once
 
 #include <map>
@@ -17,12 +17,14 @@
 
 class Choices {
  public:
-  Choices(asio::io_context& io, const node::Clock& clock, node::Counters& counters, const ground::Settings& settings, std::uint32_t seed)
+  Choices(asio::io_context& io, const node::Clock& clock, node::Counters& counters,
+          const ground::Settings& settings, std::uint32_t seed)
       : io_(io), clock_(clock), counters_(counters), settings_(settings), seed_(seed) {}
 
   struct Choice {
     std::unique_ptr<node::Desk> desk;
-    std::map<std::tuple<int, micros, micros>, int> rows;  // by mode, aim and deadline: their number only grows
+    std::map<std::tuple<int, micros, micros>, int>
+        rows;  // by mode, aim and deadline: their number only grows
     std::vector<scheme_row> schemes;
     std::size_t servers = 0;  // that may be chosen
     std::size_t nodes = 0;    // as its terms say
@@ -48,7 +50,7 @@
   node::Counters& counters_;
   const ground::Settings& settings_;
   std::uint32_t seed_;
-  std::map<std::string, Choice> choices_;  // by service
+  std::map<std::string, Choice> choices_;            // by service
   std::map<std::string, rumour::Machine> machines_;  // by server
   std::size_t nodes_ = 1;
 };
--- a/src/ambit/hand.cpp
+++ b/src/ambit/hand.cpp
@@ -7,7 +7,9 @@
 
 using namespace std::chrono_literals;
 
-std::int64_t steady_now() { return std::chrono::duration_cast<std::chrono::microseconds>(steady::now().time_since_epoch()).count(); }
+std::int64_t steady_now() {
+  return std::chrono::duration_cast<std::chrono::microseconds>(steady::now().time_since_epoch()).count();
+}
 
 namespace {
 Manners at_server() {
@@ -19,8 +21,11 @@
 }
 }  // namespace
 
-Hand::Hand(asio::io_context& io, Sockets& sockets, const ground::Settings& settings, tcp::endpoint application)
-    : settings_(settings), way_(io, sockets, application, at_server()), plan_(std::make_shared<creed::Plan>()) {
+Hand::Hand(asio::io_context& io, Sockets& sockets, const ground::Settings& settings,
+           tcp::endpoint application)
+    : settings_(settings),
+      way_(io, sockets, application, at_server()),
+      plan_(std::make_shared<creed::Plan>()) {
   sockets.evict_by([this] { return way_.evict(); });
 }
 
@@ -49,8 +54,8 @@
   return b;
 }
 
-awaitable<Result> Hand::take(std::shared_ptr<Errand> errand, std::shared_ptr<const Parcel> parcel, std::string instance,
-                             gate::Gate::Asked asked, steady::time_point until) {
+awaitable<Result> Hand::take(std::shared_ptr<Errand> errand, std::shared_ptr<const Parcel> parcel,
+                             std::string instance, gate::Gate::Asked asked, steady::time_point until) {
   Result r;
   const gate::held why = verdict(instance, asked);
   if (why != gate::held::none) {
@@ -94,7 +99,8 @@
       r.how = outcome::refused;
     } else if (f.early) {
       r.why = "spoilt";  // an answer to what it has not read whole
-    } else if (good && (f.header("X-Server-Seal").empty() || f.header("X-Attempt-Id") != parcel->id || !f.header("Content-Encoding").empty())) {
+    } else if (good && (f.header("X-Server-Seal").empty() || f.header("X-Attempt-Id") != parcel->id ||
+                        !f.header("Content-Encoding").empty())) {
       r.why = "spoilt";
     } else {
       r.how = outcome::answered;
@@ -113,7 +119,8 @@
   parcel->target = service == plan_->services.end() ? "/probe" : service->second.probe;
   parcel->headers = "Host: " + gate_.server().address + "\r\n";
   Fate f = co_await way_.carry(std::make_shared<Errand>(), parcel, steady::now() + limit);
-  if (const auto cold = f.header("X-Warmup-Ms"); !cold.empty() && f.header("X-Answering-Instance") == gate_.server().id)
+  if (const auto cold = f.header("X-Warmup-Ms");
+      !cold.empty() && f.header("X-Answering-Instance") == gate_.server().id)
     if (const auto ms = codec::whole_number(cold); ms >= 0) gate_.cold_for(now(), ms * 1000);
   co_return f;
 }
--- a/src/ambit/hand.h
+++ b/src/ambit/hand.h
@@ -1,5 +1,5 @@
-// The server's side of a node: what other nodes (and this one) forward passes the gate, is handed on to the application
-// server of this machine, and comes back with word of how far it came.
+// The server's side of a node: what other nodes (and this one) forward passes the gate, is handed on to the
+// application server of this machine, and comes back with word of how far it came.
 #pragma once
 
 #include <functional>
@@ -25,24 +25,29 @@
 
 struct Result {
   outcome how = outcome::unknown;
-  std::string why;   // held: by the gate's name; unknown: what broke
-  Fate fate;         // answered and refused: what the server said
+  std::string why;  // held: by the gate's name; unknown: what broke
+  Fate fate;        // answered and refused: what the server said
 };
 
 // Headers between nodes; they never leave the mesh.
 constexpr std::string_view deadline_header = "X-Mesh-Deadline-Ms", aim_header = "X-Mesh-Aim-Ms";
-constexpr std::string_view held_header = "X-Mesh-Held", broke_header = "X-Mesh-Broke", instance_header = "X-Target-Instance";
-inline bool of_mesh(std::string_view name) { return name.size() > 7 && codec::same_name(name.substr(0, 7), "X-Mesh-"); }
+constexpr std::string_view held_header = "X-Mesh-Held", broke_header = "X-Mesh-Broke",
+                           instance_header = "X-Target-Instance";
+inline bool of_mesh(std::string_view name) {
+  return name.size() > 7 && codec::same_name(name.substr(0, 7), "X-Mesh-");
+}
 
 class Hand {
  public:
   Hand(asio::io_context& io, Sockets& sockets, const ground::Settings& settings, tcp::endpoint application);
 
   // `instance`: the server that the caller means. Until `until` at the latest.
-  awaitable<Result> take(std::shared_ptr<Errand> errand, std::shared_ptr<const Parcel> parcel, std::string instance, gate::Gate::Asked asked,
-                         steady::time_point until);
+  awaitable<Result> take(std::shared_ptr<Errand> errand, std::shared_ptr<const Parcel> parcel,
+                         std::string instance, gate::Gate::Asked asked, steady::time_point until);
   // Whether the gate would let it pass now: asked before a long body is sent.
-  gate::held verdict(const std::string& instance, const gate::Gate::Asked& asked) { return gate_.verdict(now(), instance, bounds(), asked); }
+  gate::held verdict(const std::string& instance, const gate::Gate::Asked& asked) {
+    return gate_.verdict(now(), instance, bounds(), asked);
+  }
   // Asks the server how it is, on the path of its service. Nothing where it can't be asked.
   awaitable<std::optional<Fate>> probe(std::string instance, steady::duration limit);
 
--- a/src/ambit/way.cpp
+++ b/src/ambit/way.cpp
@@ -13,14 +13,16 @@
 using namespace std::chrono_literals;
 constexpr codec::Limits answer_limits = {64 * 1024, 64 * 1024 * 1024};
 constexpr int most_strangers = 4;
-constexpr auto stall_limit = 5s;         // no byte of a long body for so long ends it
-constexpr auto read_out_limit = 2s;      // for what is left of one that nobody wants any more
+constexpr auto stall_limit = 5s;     // no byte of a long body for so long ends it
+constexpr auto read_out_limit = 2s;  // for what is left of one that nobody wants any more
 }  // namespace
 
 bool of_connection(std::string_view name, std::string_view listed) {
-  static constexpr std::array own = {"Connection", "Keep-Alive", "Proxy-Connection", "TE", "Trailer", "Upgrade", "Transfer-Encoding",
-                                     "Content-Length", "Expect"};
-  if (std::any_of(own.begin(), own.end(), [&](const char* o) { return codec::same_name(o, name); })) return true;
+  static constexpr std::array own = {"Connection", "Keep-Alive", "Proxy-Connection",  "TE",
+                                     "Trailer",    "Upgrade",    "Transfer-Encoding", "Content-Length",
+                                     "Expect"};
+  if (std::any_of(own.begin(), own.end(), [&](const char* o) { return codec::same_name(o, name); }))
+    return true;
   while (!listed.empty()) {
     const auto comma = std::min(listed.find(','), listed.size());
     if (codec::same_name(codec::trim(listed.substr(0, comma)), name)) return true;
@@ -31,10 +33,13 @@
 
 // A surplus that was cut off runs into what comes behind it: into a value, where nothing else tells.
 static bool runs_together(const codec::Message& m) {
-  static constexpr std::string_view version = "HTTP/1.";  // then a digit, a blank and a status: other values name versions, too
+  static constexpr std::string_view version =
+      "HTTP/1.";  // then a digit, a blank and a status: other values name versions, too
   const auto begins_another = [](std::string_view text) {
     for (auto at = text.find(version); at != text.npos; at = text.find(version, at + 1))
-      if (const auto rest = text.substr(std::min(text.size(), at + version.size() + 1)); rest.starts_with(' ') && codec::whole_number(rest.substr(1, 3)) >= 100) return true;
+      if (const auto rest = text.substr(std::min(text.size(), at + version.size() + 1));
+          rest.starts_with(' ') && codec::whole_number(rest.substr(1, 3)) >= 100)
+        return true;
     return false;
   };
   for (std::size_t i = 0; i < m.headers(); ++i)
@@ -53,7 +58,8 @@
     if (idle_[i].has(id)) continue;
     Lane lane = std::move(idle_[i]);
     idle_.erase(idle_.begin() + std::ptrdiff_t(i));
-    if (steady::now() < lane.connection->idle_since && lane.connection->quiet()) return lane;  // here: until when it is good
+    if (steady::now() < lane.connection->idle_since && lane.connection->quiet())
+      return lane;  // here: until when it is good
   }
   return {};
 }
@@ -68,7 +74,8 @@
 
 void Way::sweep() {
   const auto now = steady::now();
-  std::erase_if(idle_, [&](const Lane& l) { return now >= l.connection->idle_since || !l.connection->quiet(); });
+  std::erase_if(idle_,
+                [&](const Lane& l) { return now >= l.connection->idle_since || !l.connection->quiet(); });
 }
 
 awaitable<void> read_out(Connection& c) {
@@ -80,7 +87,8 @@
   }
 }
 
-awaitable<Way::Poured> Way::pour(std::shared_ptr<Connection> to, std::shared_ptr<Errand> errand, std::shared_ptr<Source> source, bool framed) {
+awaitable<Way::Poured> Way::pour(std::shared_ptr<Connection> to, std::shared_ptr<Errand> errand,
+                                 std::shared_ptr<Source> source, bool framed) {
   Poured p;
   // Whoever has something to say before it has all is heard at once: no more is sent.
   struct Ear : std::enable_shared_from_this<Ear> {
@@ -109,8 +117,10 @@
     const std::string_view body = from.in.body();
     std::size_t written = 0;
     // A chunk of nothing would end the body.
-    if (framed && !body.empty()) p.error = co_await to->write(fmt::format("{:x}\r\n", body.size()), {}, written);
-    if (!p.error && !body.empty()) p.error = co_await to->write(body, framed ? std::string_view("\r\n") : std::string_view(), written);
+    if (framed && !body.empty())
+      p.error = co_await to->write(fmt::format("{:x}\r\n", body.size()), {}, written);
+    if (!p.error && !body.empty())
+      p.error = co_await to->write(body, framed ? std::string_view("\r\n") : std::string_view(), written);
     if (!p.error && framed && p.whole) p.error = co_await to->write("0\r\n\r\n", {}, written);
     if (p.error || ear->early || errand->off) {
       p.whole = p.whole && !p.error;
@@ -144,7 +154,8 @@
   co_return p;
 }
 
-awaitable<Fate> Way::carry(std::shared_ptr<Errand> errand, std::shared_ptr<const Parcel> parcel, steady::time_point until) {
+awaitable<Fate> Way::carry(std::shared_ptr<Errand> errand, std::shared_ptr<const Parcel> parcel,
+                           steady::time_point until) {
   Fate f;
   const auto begun = steady::now();
   auto handed = begun;
@@ -165,7 +176,8 @@
     lane.life = life_;
     if (!sockets_.make_room()) co_return told();
     ++dials;
-    errand->connection = std::make_shared<Connection>(tcp::socket(io_), sockets_, HTTP_RESPONSE, answer_limits);
+    errand->connection =
+        std::make_shared<Connection>(tcp::socket(io_), sockets_, HTTP_RESPONSE, answer_limits);
     errand->connection->limit(std::min(until, steady::now() + manners_.dial_limit));
     const auto failed = co_await errand->connection->connect(to_);
     if (failed || errand->off) co_return told();
@@ -182,18 +194,23 @@
   const std::string_view body = parcel->body ? std::string_view(*parcel->body) : std::string_view();
   const std::shared_ptr<Source> source = parcel->source;
   const bool framed = source && !source->from->in.told();
-  const bool sized = source || !body.empty() || parcel->method == "POST" || parcel->method == "PUT" || parcel->method == "PATCH";
+  const bool sized = source || !body.empty() || parcel->method == "POST" || parcel->method == "PUT" ||
+                     parcel->method == "PATCH";
   const bool asks = manners_.asks_first > 0 && (source || body.size() >= manners_.asks_first);
-  const std::string length = framed ? "Transfer-Encoding: chunked" : fmt::format("Content-Length: {}", source ? *source->from->in.told() : body.size());
-  const std::string head = sized ? fmt::format("{} {} HTTP/1.1\r\n{}{}{}\r\n\r\n", parcel->method, parcel->target, parcel->headers,
-                                               asks ? "Expect: 100-continue\r\n" : "", length)
-                                 : fmt::format("{} {} HTTP/1.1\r\n{}\r\n", parcel->method, parcel->target, parcel->headers);
+  const std::string length =
+      framed ? "Transfer-Encoding: chunked"
+             : fmt::format("Content-Length: {}", source ? *source->from->in.told() : body.size());
+  const std::string head =
+      sized ? fmt::format("{} {} HTTP/1.1\r\n{}{}{}\r\n\r\n", parcel->method, parcel->target, parcel->headers,
+                          asks ? "Expect: 100-continue\r\n" : "", length)
+            : fmt::format("{} {} HTTP/1.1\r\n{}\r\n", parcel->method, parcel->target, parcel->headers);
   std::size_t written = 0;
   asio::error_code error = co_await c.write(head, asks ? std::string_view() : body, written);
   bool wanted = !asks;
   if (!error && asks) {
     const codec::reading got = co_await c.read(error);
-    if (error || errand->off || got == codec::reading::unfinished) co_return told();  // not a byte of the body was sent
+    if (error || errand->off || got == codec::reading::unfinished)
+      co_return told();  // not a byte of the body was sent
     wanted = got == codec::reading::complete && c.in.status() == 100;
     if (wanted) {
       if (c.in.next() == codec::reading::malformed) co_return told();
@@ -226,10 +243,13 @@
     }
     const bool interim = c.in.status() < 200;
     const auto echoed = c.in.header("X-Attempt-Id");
-    // One that names no request is known by its place alone: of a connection that has carried named ones only.
+    // One that names no request is known by its place alone: of a connection that has carried named ones
+    // only.
     const bool nameless = c.in.times("X-Attempt-Id") == 0;
-    nameless_refusal = nameless && manners_.strangers && (!c.in.header("X-Not-Executed").empty() || c.in.status() == 421);
-    const bool ours = nameless ? parcel->id.empty() || nameless_refusal : echoed == parcel->id && c.in.times("X-Attempt-Id") == 1;
+    nameless_refusal =
+        nameless && manners_.strangers && (!c.in.header("X-Not-Executed").empty() || c.in.status() == 421);
+    const bool ours = nameless ? parcel->id.empty() || nameless_refusal
+                               : echoed == parcel->id && c.in.times("X-Attempt-Id") == 1;
     if (!interim && runs_together(c.in)) {
       f.broken = true;
       co_return told();
@@ -247,7 +267,8 @@
     }
   }
   // A body that only the connection's end ends can't be told from one that was cut off.
-  if (c.in.status() != 204 && c.in.status() != 304 && !c.in.told() && c.in.header("Transfer-Encoding").empty()) {
+  if (c.in.status() != 204 && c.in.status() != 304 && !c.in.told() &&
+      c.in.header("Transfer-Encoding").empty()) {
     f.broken = true;
     co_return told();
   }
@@ -259,15 +280,18 @@
     if (!of_connection(name, listed)) f.headers.emplace_back(name, codec::trim(value));
   }
   f.body = c.in.body();
-  // What its peer tells of how long it keeps an idle connection, less a little: none is met as it is being closed.
+  // What its peer tells of how long it keeps an idle connection, less a little: none is met as it is being
+  // closed.
   auto keep = manners_.idle_limit;
   if (const auto told_keep = c.in.header("Keep-Alive"); !told_keep.empty())
     if (const auto at = told_keep.find("timeout="); at != told_keep.npos) {
       const auto digits = told_keep.substr(at + 8, told_keep.find_first_of(", ;", at + 8) - (at + 8));
-      if (const auto s = codec::whole_number(digits); s >= 0) keep = std::min<steady::duration>(keep, std::chrono::seconds(s) * 8 / 10);
+      if (const auto s = codec::whole_number(digits); s >= 0)
+        keep = std::min<steady::duration>(keep, std::chrono::seconds(s) * 8 / 10);
     }
   // A copy of a refusal that named no request could be any request's.
-  if (wanted && !nameless_refusal && lane.life == life_ && c.in.keep_alive() && !c.in.behind() && idle_.size() < manners_.most_idle) {
+  if (wanted && !nameless_refusal && lane.life == life_ && c.in.keep_alive() && !c.in.behind() &&
+      idle_.size() < manners_.most_idle) {
     c.in.next();
     c.no_limit();
     if (c.quiet()) {
--- a/src/ambit/way.h
+++ b/src/ambit/way.h
@@ -1,5 +1,6 @@
-// One request over a connection of a small pool kept to one address: sent once, never again by itself; how far it came is
-// a value. What comes back is checked by the id that it echoes before anything of it counts (docs/design/calls.md).
+// One request over a connection of a small pool kept to one address: sent once, never again by itself; how
+// far it came is a value. What comes back is checked by the id that it echoes before anything of it counts
+// (docs/design/calls.md).
 #pragma once
 
 #include <algorithm>
@@ -23,19 +24,22 @@
 using node::steady;
 using tcp = asio::ip::tcp;
 
-// A body that is still coming from its sender: it goes on piece by piece, at the pace of the slower side. What a server was
-// given of it is gone, so no other can have it whole.
+// A body that is still coming from its sender: it goes on piece by piece, at the pace of the slower side.
+// What a server was given of it is gone, so no other can have it whole.
 struct Source {
-  static constexpr std::size_t kept = 64 * 1024;  // longer ones go on as they come; up to it another server can be tried
-  static constexpr std::size_t handed = 8 * 1024;  // the same beside the server, where there is no other to try
-  Source(asio::io_context& io, std::shared_ptr<Connection> c) : from(std::move(c)), rest(io, steady::time_point::max()) {}
+  static constexpr std::size_t kept =
+      64 * 1024;  // longer ones go on as they come; up to it another server can be tried
+  static constexpr std::size_t handed =
+      8 * 1024;  // the same beside the server, where there is no other to try
+  Source(asio::io_context& io, std::shared_ptr<Connection> c)
+      : from(std::move(c)), rest(io, steady::time_point::max()) {}
   const std::shared_ptr<Connection> from;
-  bool let_go = false;   // a part of it is gone
-  bool failed = false;   // its sender has broken off, or stands still
-  bool pouring = false;  // its bytes are being read; `rest` is cancelled when that is over
+  bool let_go = false;                // a part of it is gone
+  bool failed = false;                // its sender has broken off, or stands still
+  bool pouring = false;               // its bytes are being read; `rest` is cancelled when that is over
   std::function<void(double)> moved;  // told of each piece, in bytes
-  std::function<void()> whole;  // told once, when all of it has come
-  steady::duration waited{};    // for its sender
+  std::function<void()> whole;        // told once, when all of it has come
+  steady::duration waited{};          // for its sender
   asio::steady_timer rest;
 };
 
@@ -51,9 +55,9 @@
 
 struct Fate {
   came how_far = came::nowhere;
-  bool ran_out = false;    // its time was over
-  bool broken = false;     // an answer that is none: cut off, spoilt, another's
-  bool early = false;      // answered before it had all of a long body
+  bool ran_out = false;  // its time was over
+  bool broken = false;   // an answer that is none: cut off, spoilt, another's
+  bool early = false;    // answered before it had all of a long body
   int status = 0;
   std::vector<std::pair<std::string, std::string>> headers;  // without those of the connection
   std::string body;
@@ -80,26 +84,31 @@
   steady::duration dial_limit = std::chrono::milliseconds(400);
   steady::duration idle_limit = std::chrono::seconds(25);
   std::size_t most_idle = 64;
-  int user_timeout_ms = 0;  // what the peer's machine does not acknowledge for so long ends the connection; 0: no limit
-  std::size_t asks_first = 0;  // before a body as long as that its peer is asked whether it wants it; 0: never
-  bool strangers = false;   // answers of other requests may stand before ours: read past; a refusal may name no request
+  int user_timeout_ms =
+      0;  // what the peer's machine does not acknowledge for so long ends the connection; 0: no limit
+  std::size_t asks_first =
+      0;  // before a body as long as that its peer is asked whether it wants it; 0: never
+  bool strangers =
+      false;  // answers of other requests may stand before ours: read past; a refusal may name no request
 };
 
 class Way {
  public:
-  Way(asio::io_context& io, Sockets& sockets, tcp::endpoint to, Manners manners) : io_(io), sockets_(sockets), to_(to), manners_(manners) {}
+  Way(asio::io_context& io, Sockets& sockets, tcp::endpoint to, Manners manners)
+      : io_(io), sockets_(sockets), to_(to), manners_(manners) {}
   // Errors are values in the fate. `until`: no byte is waited for longer.
-  awaitable<Fate> carry(std::shared_ptr<Errand> errand, std::shared_ptr<const Parcel> parcel, steady::time_point until);
-  void forget();  // closes what is idle: the peer has failed
+  awaitable<Fate> carry(std::shared_ptr<Errand> errand, std::shared_ptr<const Parcel> parcel,
+                        steady::time_point until);
+  void forget();                       // closes what is idle: the peer has failed
   void renew() { forget(), ++life_; }  // another has the address: what is in use is not kept either
-  bool evict();   // the longest idle; false if there is none
+  bool evict();                        // the longest idle; false if there is none
   void sweep();
   const tcp::endpoint& to() const { return to_; }
   std::uint64_t dials = 0;
 
  private:
-  // A connection and the last requests that it carried: an answer may come doubled and late, so one that is sent again under
-  // its id goes over another.
+  // A connection and the last requests that it carried: an answer may come doubled and late, so one that is
+  // sent again under its id goes over another.
   struct Lane {
     std::shared_ptr<Connection> connection;
     std::uint64_t life = 0;
@@ -112,7 +121,8 @@
     asio::error_code error;
     bool whole = false, early = false;  // early: its peer has said something before it had all
   };
-  static awaitable<Poured> pour(std::shared_ptr<Connection> to, std::shared_ptr<Errand> errand, std::shared_ptr<Source> source, bool framed);
+  static awaitable<Poured> pour(std::shared_ptr<Connection> to, std::shared_ptr<Errand> errand,
+                                std::shared_ptr<Source> source, bool framed);
   asio::io_context& io_;
   Sockets& sockets_;
   tcp::endpoint to_;
@@ -121,8 +131,8 @@
   std::deque<Lane> idle_;
 };
 
-// Reads on, and drops, what is left of a message that has its answer already: a connection closed over unread bytes is reset,
-// and the answer with it.
+// Reads on, and drops, what is left of a message that has its answer already: a connection closed over unread
+// bytes is reset, and the answer with it.
 awaitable<void> read_out(Connection& c);
 
 // Names of headers that concern one connection only.
--- a/src/asking/asking.cpp
+++ b/src/asking/asking.cpp
@@ -5,8 +5,8 @@
 
 namespace {
 constexpr micros second = 1'000'000;
-constexpr micros at_once = 100'000;       // an answer this soon was not waited for
-constexpr int quick_allowed = 3;          // in a row: changes do come in bursts
+constexpr micros at_once = 100'000;        // an answer this soon was not waited for
+constexpr int quick_allowed = 3;           // in a row: changes do come in bursts
 constexpr micros longest_pause = 100'000;  // half of what ends a watch
 }  // namespace
 
--- a/src/choice/mechanism.cpp
+++ b/src/choice/mechanism.cpp
@@ -5,9 +5,9 @@
 
 namespace robinpin {
 
-constexpr int window_length = 50;                    // W
-constexpr double trial_after = 50, fair_shares = 4;  // tp, and so many times a server's share of the calls
-constexpr double ks_scale = 1.628;                   // alpha 0.01
+constexpr int window_length = 50;                      // W
+constexpr double trial_after = 50, fair_shares = 4;    // tp, and so many times a server's share of the calls
+constexpr double ks_scale = 1.628;                     // alpha 0.01
 constexpr int bins_per_sla = 25, pooled_samples = 10;  // h: bins of the shortest SLA time; of a new window
 constexpr double told_tie = 0.4;  // rows as close tie where probes tell: a txn's own luck is in them
 
--- a/src/choice/shared.h
+++ b/src/choice/shared.h
@@ -6,11 +6,11 @@
 namespace robinpin {
 
 constexpr micros second = 1'000'000, never = micros(1) << 60;
-constexpr micros pace = 20'000;            // between looks at what is held
+constexpr micros pace = 20'000;  // between looks at what is held
 constexpr micros slow_memory = 30 * second;
-constexpr int failures_seen = 2;           // in a row: rebuild without a test, left to trials
-constexpr int turned_away = -1;            // no scheme: refused whatever its scheme
-constexpr double calm_samples = 20;        // the mean of fewer is no measure of calm
+constexpr int failures_seen = 2;     // in a row: rebuild without a test, left to trials
+constexpr int turned_away = -1;      // no scheme: refused whatever its scheme
+constexpr double calm_samples = 20;  // the mean of fewer is no measure of calm
 
 // Out go those of whom it is true, unless it is true of all.
 template <typename Ranked, typename Condition>
--- a/src/codec/http.cpp
+++ b/src/codec/http.cpp
@@ -124,8 +124,8 @@
 
 std::pair<char*, std::size_t> Message::room() {
   if (buffer_.size() - end_ < first_size / 2) {
-    // A body whose length was told needs no more than that: doubling would keep half of each buffer empty. But a
-    // long one is believed only as far as it has come.
+    // A body whose length was told needs no more than that: doubling would keep half of each buffer empty.
+    // But a long one is believed only as far as it has come.
     const bool told = head_done_ && parser_.content_length <= limits_.body;
     const std::size_t whole =
         told ? end_ + std::size_t(parser_.content_length) + first_size / 2 : 2 * buffer_.size();
@@ -179,7 +179,9 @@
 }
 
 bool Message::wants_word() {
-  if (parser_.type != HTTP_REQUEST || word_given_ || !head_done_ || complete_ || came_ > 0 || behind() || parser_.http_minor == 0) return false;
+  if (parser_.type != HTTP_REQUEST || word_given_ || !head_done_ || complete_ || came_ > 0 || behind() ||
+      parser_.http_minor == 0)
+    return false;
   word_given_ = same_name(header("Expect"), "100-continue");
   return word_given_;
 }
--- a/src/codec/http.h
+++ b/src/codec/http.h
@@ -101,7 +101,7 @@
 };
 
 bool same_name(std::string_view a, std::string_view b);
-bool plain_word(std::string_view s);  // fit for an id: letters, digits and -_.:~, 128 at the most
+bool plain_word(std::string_view s);        // fit for an id: letters, digits and -_.:~, 128 at the most
 std::string_view trim(std::string_view s);  // of blanks
 // A whole number without sign or blanks; -1 if it is none or too large.
 long long whole_number(std::string_view text);
--- a/src/config/check.cpp
+++ b/src/config/check.cpp
@@ -1,5 +1,5 @@
-// What a file says, held against the house's terms and the four rules. Every refusal names the rule, the route
-// and the sum that breaks it.
+// What a file says, held against the house's terms and the four rules. Every refusal names the rule, the
+// route and the sum that breaks it.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -48,7 +48,8 @@
 
   void all() {
     bool known = true;
-    for (std::size_t i = 0; i < file_.routes.size(); ++i) known = names_known(file_.routes[i], i + 1) && known;
+    for (std::size_t i = 0; i < file_.routes.size(); ++i)
+      known = names_known(file_.routes[i], i + 1) && known;
     notes();
     if (!known) return;  // whom a route meets can't be told before its names can
     const limits::Table table(config::routes(file_, house_));
@@ -64,8 +65,12 @@
   }
 
  private:
-  void fault(At at, const std::string& key, std::string what) { r_.faults.push_back({at, key, std::move(what)}); }
-  void note(At at, const std::string& key, std::string what) { r_.notes.push_back({at, key, std::move(what)}); }
+  void fault(At at, const std::string& key, std::string what) {
+    r_.faults.push_back({at, key, std::move(what)});
+  }
+  void note(At at, const std::string& key, std::string what) {
+    r_.notes.push_back({at, key, std::move(what)});
+  }
 
   bool names_known(const Route& route, std::size_t number) {
     const std::string where = name_of(route, number);
@@ -126,11 +131,13 @@
       const int taker =
           table.find({s, compiled.tenant, method, compiled.path.empty() ? "/\x7f" : compiled.path});
       if (taker < 0 || taker >= int(number)) continue;
-      why = fmt::format("{} in line {} takes all that it would", name_of(file_.routes[std::size_t(taker)], taker + 1),
+      why = fmt::format("{} in line {} takes all that it would",
+                        name_of(file_.routes[std::size_t(taker)], taker + 1),
                         file_.routes[std::size_t(taker)].at.line);
       break;
     }
-    fault(route.at, name_of(route, number + 1), "can never be met: " + why + "; first match wins, so put it first");
+    fault(route.at, name_of(route, number + 1),
+          "can never be met: " + why + "; first match wins, so put it first");
   }
 
   const scheme_row& row(int scheme) const { return terms_.schemes[std::size_t(scheme)]; }
@@ -152,12 +159,14 @@
 
   void copies(const Limits& l, const std::string& where, const std::set<int>& met) {
     const repeats said = l.may_repeat.value;
-    const auto once = those(met, [&](const scheme_row& s) { return std::max(s.kind, said) == repeats::once_only; });
+    const auto once =
+        those(met, [&](const scheme_row& s) { return std::max(s.kind, said) == repeats::once_only; });
     if (l.second_copies.said() && l.second_copies.value && !once.empty())
       fault(l.second_copies.at, where + "second_copies",
-            fmt::format("{}gives {} a second copy, and once-only txns may never run twice; leave the key out here, "
-                        "or name a scheme that may repeat",
-                        no_effect_twice, told(once)));
+            fmt::format(
+                "{}gives {} a second copy, and once-only txns may never run twice; leave the key out here, "
+                "or name a scheme that may repeat",
+                no_effect_twice, told(once)));
     if (l.second_copy_after.said() && once.size() == met.size() && !met.empty())
       fault(l.second_copy_after.at, where + "second_copy_after",
             fmt::format("never acts: {} gets no second copy", told(once)));
@@ -168,23 +177,26 @@
       const repeats is = row(s).kind, said = l.may_repeat.value;
       if (l.may_repeat.said() && said < is)
         fault(l.may_repeat.at, where + "repeats",
-              fmt::format("{}calls {} {}, and the house's terms say {}; a route may be stricter than the house, not "
-                          "looser",
-                          no_effect_twice, scheme(s), word(said), word(is)));
+              fmt::format(
+                  "{}calls {} {}, and the house's terms say {}; a route may be stricter than the house, not "
+                  "looser",
+                  no_effect_twice, scheme(s), word(said), word(is)));
       if (l.may_repeat.said() && said == repeats::referenced && is == repeats::repeatable)
         fault(l.may_repeat.at, where + "repeats",
-              fmt::format("{} carries no mark by which a repeat would be known; say once-only, or leave the key out",
-                          scheme(s)));
+              fmt::format(
+                  "{} carries no mark by which a repeat would be known; say once-only, or leave the key out",
+                  scheme(s)));
       if (l.within.said() && is == repeats::referenced && l.within.value < row(s).within)
         fault(l.within.at, where + "within",
-              fmt::format("{}lets {} repeat in {}, and its repeats are dropped within one {} only", no_effect_twice,
-                          scheme(s), l.within.value == group::all ? "all servers" : "its zone",
-                          word(row(s).within)));
+              fmt::format("{}lets {} repeat in {}, and its repeats are dropped within one {} only",
+                          no_effect_twice, scheme(s),
+                          l.within.value == group::all ? "all servers" : "its zone", word(row(s).within)));
     }
   }
 
   void time_outs(const Limits& l, const std::string& where, const std::set<int>& met) {
-    const int allowed = l.postings.said() ? std::min(l.postings.value, terms_.most_postings) : terms_.most_postings;
+    const int allowed =
+        l.postings.said() ? std::min(l.postings.value, terms_.most_postings) : terms_.most_postings;
     const micros wait = l.posting_timeout.value;
     for (const int s : met) {
       const scheme_row& is = row(s);
@@ -192,16 +204,19 @@
                           (!l.second_copies.said() || l.second_copies.value);
       const micros copy = copied && l.second_copy_after.said() ? l.second_copy_after.value : 0;
       const micros out = limits::longest(allowed, wait, copy);
-      const std::string sum = allowed == 1  ? fmt::format("one posting of {}", duration(wait))
-                              : copy > 0 && copy < wait
-                                  ? fmt::format("{} postings of {}, the second beside the first after {}, end after {}",
-                                                allowed, duration(wait), duration(copy), duration(out))
-                                  : fmt::format("{} postings of {} end after {}", allowed, duration(wait), duration(out));
-      const std::string why = l.postings.said() ? "" : fmt::format(" (MostPostings {}: postings is not said)", allowed);
+      const std::string sum =
+          allowed == 1 ? fmt::format("one posting of {}", duration(wait))
+          : copy > 0 && copy < wait
+              ? fmt::format("{} postings of {}, the second beside the first after {}, end after {}", allowed,
+                            duration(wait), duration(copy), duration(out))
+              : fmt::format("{} postings of {} end after {}", allowed, duration(wait), duration(out));
+      const std::string why =
+          l.postings.said() ? "" : fmt::format(" (MostPostings {}: postings is not said)", allowed);
       if (out > is.expiry)
         fault(l.posting_timeout.at, where + "posting_timeout",
               fmt::format("{}{}{}, and the client of {} gives up after {} (Expiry); {} at the most would do",
-                          no_txn_lost, sum, why, scheme(s), duration(is.expiry), most_wait(is.expiry, allowed, copy)));
+                          no_txn_lost, sum, why, scheme(s), duration(is.expiry),
+                          most_wait(is.expiry, allowed, copy)));
       else
         patience(l, where, s, out, sum, allowed, copy);
       if (is.kind == repeats::referenced && std::max(l.may_repeat.value, is.kind) != repeats::once_only)
@@ -216,33 +231,37 @@
   }
 
   // A client that tries again spends the time of every try and of the waits between.
-  void patience(const Limits& l, const std::string& where, int s, micros out, const std::string& sum, int allowed,
-                micros copy) {
+  void patience(const Limits& l, const std::string& where, int s, micros out, const std::string& sum,
+                int allowed, micros copy) {
     const Clients& c = file_.clients;
     if (!c.patience.said()) return;
     const int tries = c.retries.value + 1;
     const micros waits = c.retries.value * c.wait.value;
     if (out <= (c.patience.value - waits) / tries) return;
-    fault(l.posting_timeout.at, where + "posting_timeout",
-          fmt::format("{}{}; a client that tries {} times with {} between them needs {}, and waits {} in all "
-                      "(clients.patience, line {}): its last try of {} would be worked on after it has left; {} at the "
-                      "most would do",
-                      no_txn_lost, sum, tries, duration(c.wait.value), duration(tries * out + waits),
-                      duration(c.patience.value), c.patience.at.line, scheme(s),
-                      most_wait((c.patience.value - waits) / tries, allowed, copy)));
+    fault(
+        l.posting_timeout.at, where + "posting_timeout",
+        fmt::format(
+            "{}{}; a client that tries {} times with {} between them needs {}, and waits {} in all "
+            "(clients.patience, line {}): its last try of {} would be worked on after it has left; {} at the "
+            "most would do",
+            no_txn_lost, sum, tries, duration(c.wait.value), duration(tries * out + waits),
+            duration(c.patience.value), c.patience.at.line, scheme(s),
+            most_wait((c.patience.value - waits) / tries, allowed, copy)));
   }
 
   // Servers know a mark again for so long; a repeat that runs later runs twice.
-  void memory(const Limits& l, const std::string& where, int s, micros out, const std::string& sum, int allowed) {
+  void memory(const Limits& l, const std::string& where, int s, micros out, const std::string& sum,
+              int allowed) {
     const Clients& c = file_.clients;
     const int tries = c.patience.said() ? c.retries.value + 1 : 1;
     const micros all = tries * out + (c.patience.said() ? c.retries.value * c.wait.value : 0);
     if (all <= row(s).memory || (allowed == 1 && tries == 1)) return;
     fault(l.posting_timeout.at, where + "posting_timeout",
-          fmt::format("{}{}{}, and servers know a mark of {} again for {} (Window): a later repeat would run twice",
-                      no_effect_twice, sum,
-                      tries == 1 ? "" : fmt::format(", {} tries and their waits after {}", tries, duration(all)),
-                      scheme(s), duration(row(s).memory)));
+          fmt::format(
+              "{}{}{}, and servers know a mark of {} again for {} (Window): a later repeat would run twice",
+              no_effect_twice, sum,
+              tries == 1 ? "" : fmt::format(", {} tries and their waits after {}", tries, duration(all)),
+              scheme(s), duration(row(s).memory)));
   }
 
   // What the house's terms cut short: allowed, but worth knowing.
@@ -250,11 +269,13 @@
     const auto of = [&](const Limits& l, const std::string& where) {
       if (l.postings.said() && l.postings.value > terms_.most_postings)
         note(l.postings.at, where + "postings",
-             fmt::format("{} are cut to {} by the terms (MostPostings)", l.postings.value, terms_.most_postings));
+             fmt::format("{} are cut to {} by the terms (MostPostings)", l.postings.value,
+                         terms_.most_postings));
       if (l.second_copies.said() && l.second_copies.value && !terms_.two_at_once)
         note(l.second_copies.at, where + "second_copies", "never acts: the terms allow none (SecondCopies)");
       if (l.come_back.said() && !terms_.advice_heeded)
-        note(l.come_back.at, where + "come_back", "never told: the terms give clients no advice (RetryAfter)");
+        note(l.come_back.at, where + "come_back",
+             "never told: the terms give clients no advice (RetryAfter)");
       else if (l.come_back.said() && l.come_back.value > terms_.longest_advice)
         note(l.come_back.at, where + "come_back",
              fmt::format("{} is cut to {} by the terms (MaxRetryAfter)", duration(l.come_back.value),
@@ -275,10 +296,14 @@
 }  // namespace
 
 const char* word(repeats kind) {
-  return kind == repeats::repeatable ? "repeatable" : kind == repeats::referenced ? "referenced" : "once-only";
+  return kind == repeats::repeatable   ? "repeatable"
+         : kind == repeats::referenced ? "referenced"
+                                       : "once-only";
 }
 
-const char* word(group within) { return within == group::all ? "all" : within == group::zone ? "zone" : "cell"; }
+const char* word(group within) {
+  return within == group::all ? "all" : within == group::zone ? "zone" : "cell";
+}
 
 void check(Reading& reading, const read::House& house) {
   if (!reading.good()) return;  // what could not be read says nothing of the rules
--- a/src/config/explain.cpp
+++ b/src/config/explain.cpp
@@ -62,8 +62,8 @@
   const std::string method = !q.method.empty() ? q.method : row.kind == repeats::repeatable ? "GET" : "POST";
   const std::string path = q.path.empty() ? "/" : q.path;
   const limits::Table table(routes(file, house));
-  const int number =
-      table.find({scheme->second, tenant == house.tenants.end() ? limits::any : tenant->second, method, path});
+  const int number = table.find(
+      {scheme->second, tenant == house.tenants.end() ? limits::any : tenant->second, method, path});
   const bool own = number >= 0 && std::size_t(number) < file.routes.size();
   const Route none;
   const Route& route = own ? file.routes[std::size_t(number)] : none;
@@ -78,8 +78,9 @@
   std::set<int> defaults;
   {
     const Limits& d = file.defaults;
-    for (const At& at : {d.posting_timeout.at, d.second_copy_after.at, d.come_back.at, d.postings.at, d.in_flight.at,
-                         d.second_copies.at, d.further_share.at, d.rate.at, d.burst.at, d.may_repeat.at, d.within.at})
+    for (const At& at :
+         {d.posting_timeout.at, d.second_copy_after.at, d.come_back.at, d.postings.at, d.in_flight.at,
+          d.second_copies.at, d.further_share.at, d.rate.at, d.burst.at, d.may_repeat.at, d.within.at})
       if (own && at.said()) defaults.insert(at.line);
   }
   const auto line = [&](At at) {
@@ -132,8 +133,9 @@
     put("burst", l.burst.said() ? fmt::format("{}", l.burst.value) : "1",
         l.burst.said() ? line(l.burst.at) : "not set: one at once");
   if (!terms.advice_heeded)
-    put("come_back", "-", l.come_back.said() ? cut(l.come_back.at, "RetryAfter", duration(l.come_back.value))
-                                             : "the terms (RetryAfter)");
+    put("come_back", "-",
+        l.come_back.said() ? cut(l.come_back.at, "RetryAfter", duration(l.come_back.value))
+                           : "the terms (RetryAfter)");
   else if (!l.come_back.said())
     put("come_back", "-", "not set: two mean latencies, or when a turn is free");
   else if (l.come_back.value > terms.longest_advice)
--- a/src/config/file.h
+++ b/src/config/file.h
@@ -1,5 +1,5 @@
-// Our file: what it says, with the place of each word, and every fault in it. Reading and checking are functions of the
-// text and the house's terms; only load() touches the disk. Source: docs/configuration.md.
+// Our file: what it says, with the place of each word, and every fault in it. Reading and checking are
+// functions of the text and the house's terms; only load() touches the disk. Source: docs/configuration.md.
 #pragma once
 
 #include <cstddef>
@@ -50,12 +50,13 @@
   Told<micros> flush{200'000, {}};
 };
 
-struct Clients {  // as those who come to this node are known to be
+struct Clients {                // as those who come to this node are known to be
   Told<micros> patience, wait;  // for all tries together; between one try's end and the next
   Told<int> retries;
 };
 
-struct Deployment {  // what the module reads of the shape of a deployment, where it is not as the platform says
+struct Deployment {   // what the module reads of the shape of a deployment, where it is not as the platform
+                      // says
   Told<int> streams;  // txns that a connection carries at once
   Told<bool> repeats_marked, warm_keys;
 };
@@ -67,7 +68,8 @@
     Told<std::string> name, address;  // where this node finds it
     Told<bool> voter;                 // one of the fleet's first voters
   };
-  Told<std::string> name, me, hall, listen, store;  // me: else the node's name; store: a file; with it the node can vote
+  Told<std::string> name, me, hall, listen,
+      store;  // me: else the node's name; store: a file; with it the node can vote
   Told<micros> beat{1'000'000, {}};
   Told<double> drift{0.01, {}};  // a machine's clock runs off by this share at the most
   Told<bool> open;               // listen may be every address of the machine
--- a/src/config/keys.h
+++ b/src/config/keys.h
@@ -1,5 +1,5 @@
-// Reading tables of keys from TOML with every fault kept: types, units, ranges, unknown names. Shared by all files of ours;
-// include it in .cpp files only, it brings the TOML library along.
+// Reading tables of keys from TOML with every fault kept: types, units, ranges, unknown names. Shared by all
+// files of ours; include it in .cpp files only, it brings the TOML library along.
 #pragma once
 
 #include <fmt/format.h>
@@ -132,7 +132,8 @@
     return into<int>(to, key, [=](const toml::node& n, int& v) -> std::string {
       const auto said = n.value_exact<std::int64_t>();
       if (!said) return "must be a whole number";
-      if (*said == 0 && least == 1) return "is zero: nothing would ever go out; leave the key out for no limit";
+      if (*said == 0 && least == 1)
+        return "is zero: nothing would ever go out; leave the key out for no limit";
       if (*said < least || *said > most) return fmt::format("{} is not from {} to {}", *said, least, most);
       v = int(*said);
       return "";
@@ -204,7 +205,8 @@
   std::vector<Fault>& faults_;
 };
 
-// Parses `text` and hands the table to `read`; what is no TOML is one fault. Faults end in the order of the file.
+// Parses `text` and hands the table to `read`; what is no TOML is one fault. Faults end in the order of the
+// file.
 template <typename Read>
 void read_toml(const std::string& path, std::string_view text, std::vector<Fault>& faults, Read read) {
   try {
--- a/src/config/read.cpp
+++ b/src/config/read.cpp
@@ -34,7 +34,8 @@
 
   take level(Told<std::string>& to, const std::string& key) {
     return one_of<std::string>(
-        to, key, {{"debug", "debug"}, {"info", "info"}, {"warning", "warning"}, {"error", "error"}, {"off", "off"}});
+        to, key,
+        {{"debug", "debug"}, {"info", "info"}, {"warning", "warning"}, {"error", "error"}, {"off", "off"}});
   }
 
   mapped log_keys() {
@@ -92,9 +93,10 @@
                  Fleet::Member& m = f.members.emplace_back();
                  m.at = at;
                  const std::string where = fmt::format("fleet.member {}", f.members.size());
-                 table(t, where, {{"name", text(m.name, in(where, "name"))},
-                                  {"address", text(m.address, in(where, "address"))},
-                                  {"voter", flag(m.voter, in(where, "voter"))}});
+                 table(t, where,
+                       {{"name", text(m.name, in(where, "name"))},
+                        {"address", text(m.address, in(where, "address"))},
+                        {"voter", flag(m.voter, in(where, "voter"))}});
                });
              }}};
   }
@@ -110,9 +112,10 @@
             {"rate", number(l.rate, key("rate"), 1e9, "leave the key out for no limit")},
             {"burst", number(l.burst, key("burst"), 1e9, "a route takes one at once at the least")},
             {"come_back", time(l.come_back, key("come_back"))},
-            {"repeats",
-             one_of<repeats>(l.may_repeat, key("repeats"),
-                             {{"repeatable", repeats::repeatable}, {"referenced", repeats::referenced}, {"once-only", repeats::once_only}})},
+            {"repeats", one_of<repeats>(l.may_repeat, key("repeats"),
+                                        {{"repeatable", repeats::repeatable},
+                                         {"referenced", repeats::referenced},
+                                         {"once-only", repeats::once_only}})},
             {"within", one_of<group>(l.within, key("within"),
                                      {{"all", group::all}, {"zone", group::zone}, {"cell", group::cell}})}};
   }
@@ -130,9 +133,12 @@
       own["path"] = text(r.path, in(where, "path"));
       own["tenant"] = text(r.tenant, in(where, "tenant"));
       table(t, where, own);
-      if (!t.get("name")) fault(r.at, in(where, "name"), "is missing; name the route, for its log and counts");
-      if (const std::string& p = r.path.value; !p.empty() && (p[0] != '/' || p.find_first_of("?# ") != p.npos))
-        fault(r.path.at, in(where, "path"), "must be a path that begins with / and has no query, as \"/api\"");
+      if (!t.get("name"))
+        fault(r.at, in(where, "name"), "is missing; name the route, for its log and counts");
+      if (const std::string& p = r.path.value;
+          !p.empty() && (p[0] != '/' || p.find_first_of("?# ") != p.npos))
+        fault(r.path.at, in(where, "path"),
+              "must be a path that begins with / and has no query, as \"/api\"");
       if (const std::string& m = r.method.value;
           std::any_of(m.begin(), m.end(), [](char c) { return c < 'A' || c > 'Z'; }))
         fault(r.method.at, in(where, "method"), "must be a method in capitals, as \"POST\"");
@@ -145,8 +151,9 @@
 // Names and addresses go into what voters agree on and into headers: plain words.
 bool plain(const std::string& s) {
   return s.size() <= 64 && std::all_of(s.begin(), s.end(), [](char c) {
-    return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '-' || c == '_' || c == '.';
-  });
+           return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '-' ||
+                  c == '_' || c == '.';
+         });
 }
 
 bool numeric_address(const std::string& s) {
@@ -154,33 +161,52 @@
   if (colon == std::string::npos || colon == 0) return false;
   const std::string port = s.substr(colon + 1);
   const std::string host = s.substr(0, colon);
-  return !port.empty() && port.size() <= 5 && std::all_of(port.begin(), port.end(), [](char c) { return c >= '0' && c <= '9'; }) &&
-         std::stoi(port) >= 1 && std::stoi(port) <= 65535 && host.find_first_not_of("0123456789abcdefABCDEF.:[]") == std::string::npos;
+  return !port.empty() && port.size() <= 5 &&
+         std::all_of(port.begin(), port.end(), [](char c) { return c >= '0' && c <= '9'; }) &&
+         std::stoi(port) >= 1 && std::stoi(port) <= 65535 &&
+         host.find_first_not_of("0123456789abcdefABCDEF.:[]") == std::string::npos;
 }
 
 void sort_out_fleet(const Fleet& f, const std::function<void(At, std::string, std::string)>& fault) {
   const bool any = f.listen.said() || f.store.said() || f.me.said() || !f.members.empty();
   if (!f.on()) {
-    if (any) fault(f.listen.said() ? f.listen.at : f.store.said() ? f.store.at : f.me.said() ? f.me.at : f.members[0].at, "fleet.name", "is missing: which fleet is this a member of?");
+    if (any)
+      fault(f.listen.said()  ? f.listen.at
+            : f.store.said() ? f.store.at
+            : f.me.said()    ? f.me.at
+                             : f.members[0].at,
+            "fleet.name", "is missing: which fleet is this a member of?");
     return;
   }
   if (!plain(f.name.value)) fault(f.name.at, "fleet.name", "must be a plain word: letters, digits and -_.");
-  if (f.me.said() && !plain(f.me.value)) fault(f.me.at, "fleet.me", "must be a plain word: letters, digits and -_.");
-  if (!f.listen.said()) fault(f.name.at, "fleet.listen", "is missing: where other nodes reach this one, as \"10.0.0.7:7100\"");
-  if (f.listen.said() && !numeric_address(f.listen.value)) fault(f.listen.at, "fleet.listen", "must be a numeric address and port, as \"10.0.0.7:7100\"");
-  if (f.listen.said() && !f.open.value && (f.listen.value.starts_with("0.0.0.0:") || f.listen.value.starts_with("[::]:")))
-    fault(f.listen.at, "fleet.listen", "is every address of the machine, and who reaches it is believed: name the one of the inner network, or say open = true");
+  if (f.me.said() && !plain(f.me.value))
+    fault(f.me.at, "fleet.me", "must be a plain word: letters, digits and -_.");
+  if (!f.listen.said())
+    fault(f.name.at, "fleet.listen", "is missing: where other nodes reach this one, as \"10.0.0.7:7100\"");
+  if (f.listen.said() && !numeric_address(f.listen.value))
+    fault(f.listen.at, "fleet.listen", "must be a numeric address and port, as \"10.0.0.7:7100\"");
+  if (f.listen.said() && !f.open.value &&
+      (f.listen.value.starts_with("0.0.0.0:") || f.listen.value.starts_with("[::]:")))
+    fault(f.listen.at, "fleet.listen",
+          "is every address of the machine, and who reaches it is believed: name the one of the inner "
+          "network, or say open = true");
   std::map<std::string, At> names;
   std::size_t voters = 0;
   for (const auto& m : f.members) {
-    if (!m.name.said() || !plain(m.name.value)) fault(m.name.said() ? m.name.at : m.at, "fleet.member name", "is missing or no plain word");
-    if (!m.address.said() || !numeric_address(m.address.value)) fault(m.address.said() ? m.address.at : m.at, "fleet.member address", "must be a numeric address and port");
+    if (!m.name.said() || !plain(m.name.value))
+      fault(m.name.said() ? m.name.at : m.at, "fleet.member name", "is missing or no plain word");
+    if (!m.address.said() || !numeric_address(m.address.value))
+      fault(m.address.said() ? m.address.at : m.at, "fleet.member address",
+            "must be a numeric address and port");
     if (const auto [it, fresh] = names.try_emplace(m.name.value, m.at); !fresh && m.name.said())
       fault(m.name.at, "fleet.member name", fmt::format("stands in line {}, too", it->second.line));
     voters += m.voter.value ? 1 : 0;
   }
-  if (voters == 0) fault(f.name.at, "fleet.member", "none is a voter: say voter = true for three of them, or five, or seven");
-  if (voters > most_voters) fault(f.name.at, "fleet.member", fmt::format("{} voters are over the most, {}", voters, most_voters));
+  if (voters == 0)
+    fault(f.name.at, "fleet.member",
+          "none is a voter: say voter = true for three of them, or five, or seven");
+  if (voters > most_voters)
+    fault(f.name.at, "fleet.member", fmt::format("{} voters are over the most, {}", voters, most_voters));
 }
 
 // What no house can make good: limits that contradict each other, names that stand twice.
@@ -189,16 +215,22 @@
     r.faults.push_back({at, std::move(key), std::move(what)});
   };
   sort_out_fleet(r.file.fleet, fault);
-  if (const auto n = std::count_if(r.file.fleet.members.begin(), r.file.fleet.members.end(), [](const auto& m) { return m.voter.value; }); n > 0 && n % 2 == 0)
-    r.notes.push_back({r.file.fleet.name.at, "fleet.member", fmt::format("{} voters bear no more failures than {}", n, n - 1)});
+  if (const auto n = std::count_if(r.file.fleet.members.begin(), r.file.fleet.members.end(),
+                                   [](const auto& m) { return m.voter.value; });
+      n > 0 && n % 2 == 0)
+    r.notes.push_back({r.file.fleet.name.at, "fleet.member",
+                       fmt::format("{} voters bear no more failures than {}", n, n - 1)});
   std::map<std::string, At> names{{"defaults", {}}};
-  const auto limits = [&](const Limits& own, const Limits& all, const std::string& where, const std::string& dot) {
+  const auto limits = [&](const Limits& own, const Limits& all, const std::string& where,
+                          const std::string& dot) {
     // Told at the place where a fault is to be mended: the route's own word before the defaults'.
     const auto at = [&](At first, At then) { return first.said() ? first : then; };
     if (all.burst.said() && !all.rate.said())
-      fault(at(own.burst.at, all.burst.at), where + dot + "burst", "says nothing without a rate; say rate, too");
+      fault(at(own.burst.at, all.burst.at), where + dot + "burst",
+            "says nothing without a rate; say rate, too");
     if (all.burst.said() && all.burst.value < 1)
-      fault(at(own.burst.at, all.burst.at), where + dot + "burst", "is under one: nothing would ever be taken");
+      fault(at(own.burst.at, all.burst.at), where + dot + "burst",
+            "is under one: nothing would ever be taken");
     if (all.second_copy_after.said() && all.second_copies.said() && !all.second_copies.value)
       fault(at(own.second_copy_after.at, all.second_copy_after.at), where + dot + "second_copy_after",
             fmt::format("never acts: second_copies is false in line {}", all.second_copies.at.line));
@@ -228,14 +260,15 @@
           "patience is missing: how long a client waits for all its tries together");
   if (c.patience.said() && c.retries.value * c.wait.value >= c.patience.value)
     fault(c.patience.at, "clients.patience",
-          fmt::format("leaves no time for a try: {} waits of {} are {}", c.retries.value, duration(c.wait.value),
-                      duration(c.retries.value * c.wait.value)));
+          fmt::format("leaves no time for a try: {} waits of {} are {}", c.retries.value,
+                      duration(c.wait.value), duration(c.retries.value * c.wait.value)));
 }
 
 }  // namespace
 
 std::string name_of(const Route& route, std::size_t number) {
-  return route.name.value.empty() ? fmt::format("route \"{}\"", number) : fmt::format("route \"{}\"", route.name.value);
+  return route.name.value.empty() ? fmt::format("route \"{}\"", number)
+                                  : fmt::format("route \"{}\"", route.name.value);
 }
 
 Limits effective(const File& file, const Route& route) {
--- a/src/config/told.cpp
+++ b/src/config/told.cpp
@@ -36,8 +36,8 @@
   double factor;
 };
 constexpr Unit times[] = {{"us", 1}, {"ms", 1e3}, {"s", 1e6}, {"m", 60e6}};
-constexpr Unit sizes[] = {{"KiB", 1024}, {"MiB", 1048576}, {"GiB", 1073741824}, {"KB", 1e3},
-                          {"MB", 1e6},   {"GB", 1e9},      {"B", 1}};
+constexpr Unit sizes[] = {{"KiB", 1024}, {"MiB", 1048576}, {"GiB", 1073741824}, {"KB", 1e3}, {"MB", 1e6},
+                          {"GB", 1e9},   {"B", 1}};
 
 template <std::size_t n>
 std::optional<double> with_unit(std::string_view text, const Unit (&units)[n]) {
@@ -54,7 +54,8 @@
   std::string text;
   timespec changed{};
   bool operator==(const Bytes& other) const {
-    return text == other.text && changed.tv_sec == other.changed.tv_sec && changed.tv_nsec == other.changed.tv_nsec;
+    return text == other.text && changed.tv_sec == other.changed.tv_sec &&
+           changed.tv_nsec == other.changed.tv_nsec;
   }
 };
 
@@ -114,7 +115,8 @@
   constexpr int looks = 8;
   auto b = bytes_of(path);
   for (int i = 0; b && i < looks; ++i) {
-    const auto changed = std::chrono::seconds(b->changed.tv_sec) + std::chrono::nanoseconds(b->changed.tv_nsec);
+    const auto changed =
+        std::chrono::seconds(b->changed.tv_sec) + std::chrono::nanoseconds(b->changed.tv_nsec);
     if (std::chrono::system_clock::now().time_since_epoch() - changed > settled) break;
     std::this_thread::sleep_for(settled);
     auto again = bytes_of(path);
--- a/src/config/told.h
+++ b/src/config/told.h
@@ -32,7 +32,8 @@
 std::string duration(micros time);  // "250ms"
 std::optional<micros> duration(std::string_view text);
 
-// A file's bytes; once more while it is still being written. Nothing if it can't be read. Waits up to half a second.
+// A file's bytes; once more while it is still being written. Nothing if it can't be read. Waits up to half a
+// second.
 std::optional<std::string> settled_bytes(const std::string& path);
 std::string hash_of(std::string_view bytes);  // 16 hexadecimal digits
 
--- a/src/consensus/proposal.cpp
+++ b/src/consensus/proposal.cpp
@@ -5,7 +5,8 @@
 namespace robinpin::consensus {
 
 const char* word(fate f) {
-  constexpr const char* words[] = {"chosen", "refused", "outbid", "unreachable", "unknown", "overtaken", "full"};
+  constexpr const char* words[] = {"chosen",  "refused",   "outbid", "unreachable",
+                                   "unknown", "overtaken", "full"};
   return words[int(f)];
 }
 
@@ -16,7 +17,9 @@
 
 Step Proposal::begin() {
   if (want_.text.size() > longest_value || want_.name.size() > longest_name) return end(fate::full);
-  return ask_all(want_.what == wish::read ? phase::look : want_.what == wish::names ? phase::names : phase::prepare);
+  return ask_all(want_.what == wish::read    ? phase::look
+                 : want_.what == wish::names ? phase::names
+                                             : phase::prepare);
 }
 
 Step Proposal::ask_all(phase what) {
@@ -66,7 +69,8 @@
   if (over_ || r.what != stage_ || r.ballot != ballot_ || !voters_.seat(r.store)) return {};
   out_.round = std::max(out_.round, r.promised.round);
   if (r.how != verdict::yes) {
-    if (r.how == verdict::stale && (!out_.newer || r.voters.version > out_.newer->version)) out_.newer = r.voters;
+    if (r.how == verdict::stale && (!out_.newer || r.voters.version > out_.newer->version))
+      out_.newer = r.voters;
     if (r.how == verdict::full) full_.insert(r.store);
     if (!yes_.contains(r.store)) no_.insert(r.store);
     return look_on();
@@ -109,9 +113,11 @@
     if (voters_.majority(same)) return end(fate::chosen);
     return ask_all(phase::prepare);
   }
-  // The latest accepted value that a majority tells of may have been chosen: whatever is wanted, it is finished first.
+  // The latest accepted value that a majority tells of may have been chosen: whatever is wanted, it is
+  // finished first.
   if (want_.what == wish::write) {
-    const bool stands = value_.version == want_.expected + 1 && value_.by == want_.by;  // an earlier try of this write
+    const bool stands =
+        value_.version == want_.expected + 1 && value_.by == want_.by;  // an earlier try of this write
     if (value_.version == want_.expected) {
       value_ = {want_.expected + 1, want_.text, want_.by};
       ours_ = true;
@@ -123,15 +129,17 @@
       ours_ = true;
     }
   }
-  if (value_.version == 0) return end(refused_ ? fate::refused : fate::chosen);  // nothing was, nothing older can be
+  if (value_.version == 0)
+    return end(refused_ ? fate::refused : fate::chosen);  // nothing was, nothing older can be
   return ask_all(phase::accept);
 }
 
 std::string Proposal::state() const {
   const auto ballot = [](const Ballot& b) { return std::to_string(b.round) + b.proposer; };
-  std::string s = std::to_string(int(stage_)) + (over_ ? "o" : "") + (ours_ ? "u" : "") + (refused_ ? "r" : "") +
-                  (again_ ? "a" : "") + ballot(ballot_) + "," + ballot(highest_) + "," + std::to_string(value_.version) +
-                  value_.by + "," + std::to_string(out_.round) + "v" + std::to_string(voters_.version);
+  std::string s = std::to_string(int(stage_)) + (over_ ? "o" : "") + (ours_ ? "u" : "") +
+                  (refused_ ? "r" : "") + (again_ ? "a" : "") + ballot(ballot_) + "," + ballot(highest_) +
+                  "," + std::to_string(value_.version) + value_.by + "," + std::to_string(out_.round) + "v" +
+                  std::to_string(voters_.version);
   for (const auto& store : yes_) s += "+" + store;
   for (const auto& store : no_) s += "-" + store;
   for (const auto& [store, b] : accepted_) s += "=" + store + ballot(b);
@@ -140,7 +148,9 @@
 }
 
 Succession::Succession(Voters known, std::vector<Seat> wanted)
-    : stage_(known.changing() ? stage::names : stage::join), known_(std::move(known)), wanted_(std::move(wanted)) {
+    : stage_(known.changing() ? stage::names : stage::join),
+      known_(std::move(known)),
+      wanted_(std::move(wanted)) {
   if (known_.changing()) wanted_ = known_.next;
 }
 
--- a/src/consensus/proposal.h
+++ b/src/consensus/proposal.h
@@ -1,5 +1,6 @@
-// One call on one register, from its first ask to its end: read, write on a version, or settle what is half written. It is
-// told what was answered and says what to ask next; it waits for nothing and resends nothing by itself.
+// One call on one register, from its first ask to its end: read, write on a version, or settle what is half
+// written. It is told what was answered and says what to ask next; it waits for nothing and resends nothing
+// by itself.
 #pragma once
 
 #include <map>
@@ -12,8 +13,8 @@
 
 namespace robinpin::consensus {
 
-// settle: what is accepted anywhere is finished or buried. names: the names of all registers, from a majority that has
-// taken up the voters told.
+// settle: what is accepted anywhere is finished or buried. names: the names of all registers, from a majority
+// that has taken up the voters told.
 enum class wish { read, write, settle, names };
 
 struct Want {
@@ -23,9 +24,10 @@
   std::string text, by;        // write: the new value, and which write it is
 };
 
-// chosen: it stands (a read: it is what stood during the call). refused: another version stands, which is told. outbid and
-// unreachable: it was not done. unknown: it may stand or not, or come to stand later; the same write tried again (by the same
-// `by`) finds out. overtaken: it was tried before, and two or more versions have come since: nobody can tell any more.
+// chosen: it stands (a read: it is what stood during the call). refused: another version stands, which is
+// told. outbid and unreachable: it was not done. unknown: it may stand or not, or come to stand later; the
+// same write tried again (by the same `by`) finds out. overtaken: it was tried before, and two or more
+// versions have come since: nobody can tell any more.
 enum class fate { chosen, refused, outbid, unreachable, unknown, overtaken, full };
 const char* word(fate f);
 
@@ -72,15 +74,15 @@
   bool again_, over_ = false, ours_ = false, refused_ = false;
   phase stage_ = phase::look;
   std::set<std::string> yes_, no_, full_;
-  Ballot highest_;        // accepted, of those who answered in this stage
-  Value value_;           // at it; from the decision on the one to be accepted
+  Ballot highest_;  // accepted, of those who answered in this stage
+  Value value_;     // at it; from the decision on the one to be accepted
   std::map<std::string, Ballot> accepted_;
   Outcome out_;
 };
 
-// The change of voters, one set to the next, safe wherever it is cut off: first both sets have to agree, then every register
-// is settled under both, then the earlier set is let go. Gives one job after the other; whoever finds a change under way can
-// go on with it.
+// The change of voters, one set to the next, safe wherever it is cut off: first both sets have to agree, then
+// every register is settled under both, then the earlier set is let go. Gives one job after the other;
+// whoever finds a change under way can go on with it.
 class Succession {
  public:
   struct Job {
@@ -101,8 +103,8 @@
   std::vector<std::string> names_;
 };
 
-// Before the n-th try after one that was outbid: from nothing to a span that doubles, drawn by `part` (0 to 1), so that two who
-// outbid each other fall apart. Microseconds.
+// Before the n-th try after one that was outbid: from nothing to a span that doubles, drawn by `part` (0 to
+// 1), so that two who outbid each other fall apart. Microseconds.
 std::int64_t wait_before(int tries, double part);
 
 }  // namespace robinpin::consensus
--- a/src/consensus/register.cpp
+++ b/src/consensus/register.cpp
@@ -7,7 +7,8 @@
 namespace {
 
 bool most_of(const std::vector<Seat>& seats, const std::set<std::string>& stores) {
-  const auto n = std::count_if(seats.begin(), seats.end(), [&](const Seat& s) { return stores.contains(s.store); });
+  const auto n =
+      std::count_if(seats.begin(), seats.end(), [&](const Seat& s) { return stores.contains(s.store); });
   return 2 * std::size_t(n) > seats.size();
 }
 
@@ -16,7 +17,8 @@
 std::vector<Seat> Voters::all() const {
   std::vector<Seat> both = now;
   for (const Seat& s : next)
-    if (std::none_of(now.begin(), now.end(), [&](const Seat& o) { return o.store == s.store; })) both.push_back(s);
+    if (std::none_of(now.begin(), now.end(), [&](const Seat& o) { return o.store == s.store; }))
+      both.push_back(s);
   return both;
 }
 
@@ -54,7 +56,8 @@
       words.emplace_back(line.substr(at, blank - at));
       at = blank + 1;
     }
-    if (words.size() != 4 || words[1].empty() || words[2].empty() || (words[0] != "now" && words[0] != "next"))
+    if (words.size() != 4 || words[1].empty() || words[2].empty() ||
+        (words[0] != "now" && words[0] != "next"))
       return std::nullopt;
     (words[0] == "now" ? v.now : v.next).push_back({words[1], words[2], words[3]});
   }
--- a/src/consensus/register.h
+++ b/src/consensus/register.h
@@ -1,4 +1,5 @@
-// What processes agree on: named registers, each with its version, and the voters who settle them. Plain types only.
+// What processes agree on: named registers, each with its version, and the voters who settle them. Plain
+// types only.
 #pragma once
 
 #include <compare>
@@ -12,11 +13,13 @@
 
 namespace robinpin::consensus {
 
-inline constexpr std::size_t longest_value = 6'000'000;  // bytes; who takes values from outside bounds them further
+inline constexpr std::size_t longest_value =
+    6'000'000;  // bytes; who takes values from outside bounds them further
 inline constexpr std::size_t longest_name = 128, most_registers = 4096, most_voters = 7;
 inline constexpr std::string_view voters_register = "voters";  // the voters themselves
 
-// Names one try at a write. `proposer` is a process's own, "name/incarnation": no ballot comes twice, also after a restart.
+// Names one try at a write. `proposer` is a process's own, "name/incarnation": no ballot comes twice, also
+// after a restart.
 struct Ballot {
   std::uint64_t round = 0;  // 0: none
   std::string proposer;
@@ -35,8 +38,8 @@
   friend bool operator==(const Seat&, const Seat&) = default;
 };
 
-// Who votes. While a change is under way both sets have to agree, so that no order of crashes leaves two majorities that
-// do not meet.
+// Who votes. While a change is under way both sets have to agree, so that no order of crashes leaves two
+// majorities that do not meet.
 struct Voters {
   std::uint64_t version = 0;  // of the register that holds them; 0: none known
   std::vector<Seat> now, next;
@@ -51,7 +54,8 @@
   static std::optional<Voters> read(std::uint64_t version, std::string_view text);
 };
 
-// look: what was accepted, nothing promised. names: all registers' names; with it a voter takes up the voters told.
+// look: what was accepted, nothing promised. names: all registers' names; with it a voter takes up the voters
+// told.
 enum class phase { look, prepare, accept, names };
 
 struct Ask {
@@ -59,20 +63,21 @@
   std::string store;  // of the voter meant
   std::string name;   // of the register
   Ballot ballot;
-  Value value;        // to accept
-  Voters voters;      // as the asker knows them
-  std::vector<std::pair<std::string, std::uint64_t>> seen;  // of other voters' stores, the counters lately heard
+  Value value;    // to accept
+  Voters voters;  // as the asker knows them
+  std::vector<std::pair<std::string, std::uint64_t>>
+      seen;  // of other voters' stores, the counters lately heard
 };
 
-// returning: it came up again and has not yet heard that no later state of its store was seen; older: one was seen, or its
-// store failed. It votes no more.
+// returning: it came up again and has not yet heard that no later state of its store was seen; older: one was
+// seen, or its store failed. It votes no more.
 enum class verdict { yes, lower, stale, not_me, full, returning, older };
 
 struct Reply {
   verdict how = verdict::not_me;
   phase what = phase::look;
   std::string store;
-  Ballot ballot;              // as asked: an answer to an earlier try says nothing of the next
+  Ballot ballot;  // as asked: an answer to an earlier try says nothing of the next
   Ballot promised, accepted;
   Value value;                // accepted
   Voters voters;              // where how is stale: the newer ones
--- a/src/consensus/voter.cpp
+++ b/src/consensus/voter.cpp
@@ -41,7 +41,8 @@
     if (!h.change) h.change = next();
     if (newer) h.change->voters = memory_.voters;
     for (const auto& [store, counter] : a.seen)
-      if (auto& known = memory_.seen[store]; counter > known && store != memory_.store && memory_.voters.seat(store))
+      if (auto& known = memory_.seen[store];
+          counter > known && store != memory_.store && memory_.voters.seat(store))
         h.change->seen.emplace_back(store, known = counter);
   };
   if (newer) changed();
@@ -56,7 +57,8 @@
   r.accepted = before.accepted;
   r.value = before.value;
   if (a.what == phase::look) return end(verdict::yes);
-  if (a.what == phase::prepare ? a.ballot <= before.promised : a.ballot < before.promised) return end(verdict::lower);
+  if (a.what == phase::prepare ? a.ballot <= before.promised : a.ballot < before.promised)
+    return end(verdict::lower);
   if (a.name.empty() || a.name.size() > longest_name || a.value.text.size() > longest_value ||
       (it == memory_.slots.end() && memory_.slots.size() >= most_registers))
     return end(verdict::full);
@@ -111,7 +113,8 @@
 }
 
 void Voter::witnessed(const std::string& by, std::uint64_t counter) {
-  if (counter > memory_.counter) standing_ = verdict::older;  // an older copy: what it promised since is forgotten
+  if (counter > memory_.counter)
+    standing_ = verdict::older;  // an older copy: what it promised since is forgotten
   if (!memory_.voters.seat(by)) return;
   witnesses_.insert(by);
   if (standing_ == verdict::returning && memory_.voters.majority(witnesses_)) standing_ = verdict::yes;
--- a/src/creed/adjust.cpp
+++ b/src/creed/adjust.cpp
@@ -55,7 +55,8 @@
   explicit Reader(Change& change) : change_(change) {}
 
   void read(std::string_view body) {
-    if (doc_.Parse<rapidjson::kParseIterativeFlag>(body.data(), body.size()).HasParseError() || !doc_.IsObject() || too_deep(doc_, 0))
+    if (doc_.Parse<rapidjson::kParseIterativeFlag>(body.data(), body.size()).HasParseError() ||
+        !doc_.IsObject() || too_deep(doc_, 0))
       return fault("", "no JSON object, whole");
     const Value* apply = rapidjson::Pointer("/apply").Get(doc_);
     const Value* remove = rapidjson::Pointer("/remove").Get(doc_);
@@ -74,7 +75,8 @@
 
  private:
   void fault(std::string pointer, std::string reason) {
-    if (change_.faults.size() < most_faults) change_.faults.push_back({std::move(pointer), std::move(reason)});
+    if (change_.faults.size() < most_faults)
+      change_.faults.push_back({std::move(pointer), std::move(reason)});
   }
 
   std::vector<Row> rows(const std::string& at) {
@@ -111,7 +113,8 @@
     if (!label || !label->IsString() || label->GetStringLength() == 0 || label->GetStringLength() > 256)
       return fault(r.pointer, "label: no name"), false;
     item.name = std::string(mark) + std::string(text_of(*label));
-    if (!read_version(r.get("revision"), item.version)) return fault(r.pointer, "revision: not eight hexadecimal digits"), false;
+    if (!read_version(r.get("revision"), item.version))
+      return fault(r.pointer, "revision: not eight hexadecimal digits"), false;
     return true;
   }
 
@@ -131,9 +134,12 @@
   void target(const Row& r) {
     Item item;
     if (!named(r, target_mark, item)) return;
-    if (const Value* w = r.get("warmup"); w && (!w->IsString() || span_of(text_of(*w)) < 0)) fault(r.pointer, "warmup: no time");
-    if (const Value* p = r.get("warmup_per_s"); p && (!p->IsNumber() || p->GetDouble() < 0)) fault(r.pointer, "warmup_per_s: no rate");
-    if (const Value* c = r.get("conn_limit"); c && (!c->IsInt64() || c->GetInt64() < 1)) fault(r.pointer, "conn_limit: no count");
+    if (const Value* w = r.get("warmup"); w && (!w->IsString() || span_of(text_of(*w)) < 0))
+      fault(r.pointer, "warmup: no time");
+    if (const Value* p = r.get("warmup_per_s"); p && (!p->IsNumber() || p->GetDouble() < 0))
+      fault(r.pointer, "warmup_per_s: no rate");
+    if (const Value* c = r.get("conn_limit"); c && (!c->IsInt64() || c->GetInt64() < 1))
+      fault(r.pointer, "conn_limit: no count");
     called_.insert(item.name);
     keep(r, std::move(item));
   }
@@ -142,7 +148,8 @@
     if (!service.IsString()) return fault(r.pointer, "target: no name");
     std::string name = std::string(target_mark) + std::string(text_of(service));
     const bool brought = called_.contains(name);
-    change_.needs.push_back({change_.items.size(), std::move(name), r.pointer, brought});  // of the item that is about to be kept
+    change_.needs.push_back(
+        {change_.items.size(), std::move(name), r.pointer, brought});  // of the item that is about to be kept
   }
 
   void channel(const Row& r) {
@@ -151,20 +158,24 @@
     const Value* host = r.get("authority");
     if (!host || !host->IsString() || host->GetStringLength() == 0) fault(r.pointer, "authority: empty");
     const Value* prefix = r.get("path_prefix");
-    if (!prefix || !prefix->IsString() || prefix->GetStringLength() == 0 || text_of(*prefix).front() != '/' || text_of(*prefix).back() != '/')
+    if (!prefix || !prefix->IsString() || prefix->GetStringLength() == 0 || text_of(*prefix).front() != '/' ||
+        text_of(*prefix).back() != '/')
       fault(r.pointer, "path_prefix: does not begin and end with a slash");
     const Value* mode = r.get("mode");
-    if (!mode || !mode->IsString() || (text_of(*mode) != "idempotent" && text_of(*mode) != "effectful" && text_of(*mode) != "inflow"))
+    if (!mode || !mode->IsString() ||
+        (text_of(*mode) != "idempotent" && text_of(*mode) != "effectful" && text_of(*mode) != "inflow"))
       fault(r.pointer, "mode: none of idempotent, effectful, inflow");
     const auto time = [&](const char* name, bool needed) {
       const Value* v = r.get(name);
       if (!v && !needed) return;
       const long long span = v && v->IsString() ? span_of(text_of(*v)) : -1;
-      if (span <= 0 || span > longest_deadline) fault(r.pointer, std::string(name) + ": no time from 1 ms to ten minutes");
+      if (span <= 0 || span > longest_deadline)
+        fault(r.pointer, std::string(name) + ": no time from 1 ms to ten minutes");
     };
     time("deadline", true);
     time("setpoint_time", false);
-    if (const Value* t = r.get("tries"); t && (!t->IsInt64() || t->GetInt64() < 1)) fault(r.pointer, "tries: below 1");
+    if (const Value* t = r.get("tries"); t && (!t->IsInt64() || t->GetInt64() < 1))
+      fault(r.pointer, "tries: below 1");
     const Value *whole = r.get("target"), *split = r.get("distribution");
     if (!whole && !split) fault(r.pointer, "target: names no service");
     if (whole) knows(r, *whole);
@@ -198,8 +209,10 @@
       const Value* label = v.IsObject() ? rapidjson::Pointer("/label").Get(v) : nullptr;
       Item item;
       item.dropped = true;
-      if (!label || !label->IsString() || label->GetStringLength() == 0) fault(here, "label: no name");
-      else if (!read_version(rapidjson::Pointer("/revision").Get(v), item.version)) fault(here, "revision: not eight hexadecimal digits");
+      if (!label || !label->IsString() || label->GetStringLength() == 0)
+        fault(here, "label: no name");
+      else if (!read_version(rapidjson::Pointer("/revision").Get(v), item.version))
+        fault(here, "revision: not eight hexadecimal digits");
       else {
         item.name = std::string(mark) + std::string(text_of(*label));
         if (names) names->insert(item.name);
@@ -215,7 +228,8 @@
     if (!s->IsObject()) return fault(at, "no object");
     Item item;
     item.name = saturation_name;
-    if (!read_version(rapidjson::Pointer("/revision").Get(*s), item.version)) fault(at, "revision: not eight hexadecimal digits");
+    if (!read_version(rapidjson::Pointer("/revision").Get(*s), item.version))
+      fault(at, "revision: not eight hexadecimal digits");
     for (const char* name : {"/header", "/idle"}) {
       const Value* v = rapidjson::Pointer(name).Get(*s);
       if (v && !v->IsNull() && (!v->IsString() || span_of(text_of(*v)) <= 0)) fault(at + name, "no time");
@@ -244,7 +258,8 @@
       if (a == name) return;
     axes.emplace_back(name);
   };
-  for (auto it = stands.items().lower_bound(mark); it != stands.items().end() && it->first.starts_with(mark); ++it) {
+  for (auto it = stands.items().lower_bound(mark); it != stands.items().end() && it->first.starts_with(mark);
+       ++it) {
     if (it->second.dropped) continue;
     records.emplace_back().Parse(it->second.text.data(), it->second.text.size());
   }
@@ -267,8 +282,10 @@
     out.StartArray();
     for (const std::string& a : axes) {
       const auto m = r.FindMember(a.c_str());
-      if (m == r.MemberEnd()) out.Null();
-      else m->value.Accept(out);
+      if (m == r.MemberEnd())
+        out.Null();
+      else
+        m->value.Accept(out);
     }
     out.EndArray();
   }
@@ -280,7 +297,8 @@
 
 long long span_of(std::string_view text) {
   std::size_t digits = 0;
-  while (digits < text.size() && ((text[digits] >= '0' && text[digits] <= '9') || text[digits] == '.')) ++digits;
+  while (digits < text.size() && ((text[digits] >= '0' && text[digits] <= '9') || text[digits] == '.'))
+    ++digits;
   const std::string_view unit = text.substr(digits);
   if (digits == 0 || digits > 18 || (unit != "ms" && unit != "s")) return -1;
   double n = 0;
@@ -307,7 +325,8 @@
   Change change = read_call(body);
   for (const Need& n : change.needs)
     if (!n.brought && !stands.stands(n.service))
-      change.faults.push_back({n.pointer, "target: nobody knows the service " + n.service.substr(target_mark.size())});
+      change.faults.push_back(
+          {n.pointer, "target: nobody knows the service " + n.service.substr(target_mark.size())});
   if (!change.faults.empty()) change.items.clear();
   return change;
 }
@@ -337,9 +356,11 @@
   out.StartObject();
   out.Key("channels");
   list_of(out, stands, channel_mark,
-          {"label", "authority", "path_prefix", "mode", "deadline", "setpoint_time", "rank", "distribution", "tries", "revision", "target"});
+          {"label", "authority", "path_prefix", "mode", "deadline", "setpoint_time", "rank", "distribution",
+           "tries", "revision", "target"});
   out.Key("targets");
-  list_of(out, stands, target_mark, {"label", "probe", "conn_limit", "protocol", "tls", "warmup", "warmup_per_s", "revision"});
+  list_of(out, stands, target_mark,
+          {"label", "probe", "conn_limit", "protocol", "tls", "warmup", "warmup_per_s", "revision"});
   if (const Item* s = stands.find(saturation_name); s && !s->dropped) {
     rapidjson::Document d;
     d.Parse(s->text.data(), s->text.size());
--- a/src/creed/creed.h
+++ b/src/creed/creed.h
@@ -1,5 +1,6 @@
-// A copy of the control state: merged item by item, what was settled last wins. Names that were dropped are let go of, oldest
-// first, once they are many: up to the floor a name that is not held was dropped or never was. Free of I/O and clocks.
+// A copy of the control state: merged item by item, what was settled last wins. Names that were dropped are
+// let go of, oldest first, once they are many: up to the floor a name that is not held was dropped or never
+// was. Free of I/O and clocks.
 #pragma once
 
 #include <map>
@@ -13,16 +14,18 @@
 class Creed {
  public:
   using Items = std::map<std::string, Item, std::less<>>;
-  static constexpr std::size_t most_items = 20'000;       // that stand: an order beyond it is refused
-  static constexpr std::size_t most_bytes = 24'000'000;   // of all names and texts, likewise
-  static constexpr std::size_t most_dropped = 4'096;      // dropped names that are still known
-  static constexpr std::size_t let_go_at_once = 512;      // of them
+  static constexpr std::size_t most_items = 20'000;      // that stand: an order beyond it is refused
+  static constexpr std::size_t most_bytes = 24'000'000;  // of all names and texts, likewise
+  static constexpr std::size_t most_dropped = 4'096;     // dropped names that are still known
+  static constexpr std::size_t let_go_at_once = 512;     // of them
 
   // True if it was news and is held now.
   bool take(const Item& item);
-  // Lets the oldest dropped names go where they are more than `most_dropped`; all copies of one number do it alike. Their names.
+  // Lets the oldest dropped names go where they are more than `most_dropped`; all copies of one number do it
+  // alike. Their names.
   std::vector<std::string> prune();
-  // Another copy, whole up to there, has let go of all dropped names up to this number, and this one lacks nothing that it has.
+  // Another copy, whole up to there, has let go of all dropped names up to this number, and this one lacks
+  // nothing that it has.
   std::vector<std::string> let_go(std::uint64_t floor);
   std::uint64_t floor() const { return floor_; }
   void floor(std::uint64_t number) { floor_ = number; }  // as read from a disk
--- a/src/creed/item.h
+++ b/src/creed/item.h
@@ -10,7 +10,8 @@
 namespace robinpin::creed {
 
 // Names begin with what they are of.
-constexpr std::string_view channel_mark = "c/", target_mark = "t/", evacuation_mark = "e/", saturation_name = "s";
+constexpr std::string_view channel_mark = "c/", target_mark = "t/", evacuation_mark = "e/",
+                           saturation_name = "s";
 
 struct Item {
   std::string name;
@@ -25,8 +26,8 @@
   }
 };
 
-// Whether `a` takes `b`'s place. One number holds one wording of an item, and a later number never a lower version, but of a
-// name that was let go of.
+// Whether `a` takes `b`'s place. One number holds one wording of an item, and a later number never a lower
+// version, but of a name that was let go of.
 inline bool newer(const Item& a, const Item& b) { return a.at != b.at ? a.at > b.at : a.version > b.version; }
 // Whether two say the same of one name, whenever each was settled.
 inline bool same_wording(const Item& a, const Item& b) {
--- a/src/creed/plan.cpp
+++ b/src/creed/plan.cpp
@@ -24,14 +24,17 @@
 }
 std::int64_t span_at(const Value& v, const char* pointer, std::int64_t absent) {
   const Value* found = rapidjson::Pointer(pointer).Get(v);
-  const long long span = found && found->IsString() ? span_of({found->GetString(), found->GetStringLength()}) : -1;
+  const long long span =
+      found && found->IsString() ? span_of({found->GetString(), found->GetStringLength()}) : -1;
   return span >= 0 ? span : absent;
 }
 
 std::string lowered(std::string_view host) {
-  if (const auto colon = host.rfind(':'); colon != host.npos && host.find(']', colon) == host.npos) host = host.substr(0, colon);
+  if (const auto colon = host.rfind(':'); colon != host.npos && host.find(']', colon) == host.npos)
+    host = host.substr(0, colon);
   std::string text(host);
-  std::transform(text.begin(), text.end(), text.begin(), [](unsigned char c) { return char(std::tolower(c)); });
+  std::transform(text.begin(), text.end(), text.begin(),
+                 [](unsigned char c) { return char(std::tolower(c)); });
   return text;
 }
 
@@ -48,7 +51,8 @@
   c.tries = int(std::clamp(number_at(v, "/tries", 1), 1.0, 100.0));
   if (const Value* split = rapidjson::Pointer("/distribution").Get(v); split && split->IsArray())
     for (const Value& s : split->GetArray())
-      if (const double gain = number_at(s, "/gain", 0); gain > 0) c.shares.push_back({text_at(s, "/target"), gain});
+      if (const double gain = number_at(s, "/gain", 0); gain > 0)
+        c.shares.push_back({text_at(s, "/target"), gain});
   if (c.shares.empty()) c.shares.push_back({text_at(v, "/target"), 1});
   for (const Share& s : c.shares) c.gains += s.gain;
   return c;
@@ -71,7 +75,8 @@
     const auto slash = path.rfind('/');
     if (slash == path.npos) break;
     path.resize(slash + 1);
-    if (const auto found = of_host->second.find(path); found != of_host->second.end()) return found->second.get();
+    if (const auto found = of_host->second.find(path); found != of_host->second.end())
+      return found->second.get();
     path.resize(slash);
   }
   return nullptr;
@@ -81,7 +86,9 @@
   auto plan = std::make_shared<Plan>();
   std::unordered_map<std::string, Known> channels;
   channels.reserve(channels_.size());
-  const auto read = [](const Item& item, rapidjson::Document& v) { return !v.Parse(item.text.data(), item.text.size()).HasParseError() && v.IsObject(); };
+  const auto read = [](const Item& item, rapidjson::Document& v) {
+    return !v.Parse(item.text.data(), item.text.size()).HasParseError() && v.IsObject();
+  };
   for (const auto& [name, item] : creed.items()) {
     if (item.dropped) continue;
     if (name.starts_with(channel_mark)) {
--- a/src/creed/plan.h
+++ b/src/creed/plan.h
@@ -1,5 +1,5 @@
-// The control state as a node acts on it: routes by host and longest prefix, services, limits, emptied zones. Built whole
-// from a copy of the state and never changed: who is at work keeps the one it began with.
+// The control state as a node acts on it: routes by host and longest prefix, services, limits, emptied zones.
+// Built whole from a copy of the state and never changed: who is at work keeps the one it began with.
 #pragma once
 
 #include <map>
@@ -44,7 +44,8 @@
 };
 
 struct Plan {
-  std::unordered_map<std::string, std::unordered_map<std::string, std::shared_ptr<const Channel>>> hosts;  // by host, by prefix
+  std::unordered_map<std::string, std::unordered_map<std::string, std::shared_ptr<const Channel>>>
+      hosts;  // by host, by prefix
   std::map<std::string, Service, std::less<>> services;
   std::set<std::string, std::less<>> emptied;  // zones
   Bounds bounds;
--- a/src/ground/ground.h
+++ b/src/ground/ground.h
@@ -28,17 +28,20 @@
   int memory_mb = 256, file_limit = 1024;
   bool operator==(const Settings&) const = default;
   // False only where zones are told and it is none of them.
-  bool may_be_zone(const std::string& name) const { return zones.empty() || name == zone || zones.contains(name); }
+  bool may_be_zone(const std::string& name) const {
+    return zones.empty() || name == zone || zones.contains(name);
+  }
 };
 
-// `core`: of a core machine, which has a disk and serves operators. Errors: every fault of the text, a line each with its
-// pointer and the reason; at the step "parse" where it is no JSON, so perhaps half written.
+// `core`: of a core machine, which has a disk and serves operators. Errors: every fault of the text, a line
+// each with its pointer and the reason; at the step "parse" where it is no JSON, so perhaps half written.
 trove::result<Settings> read(std::string_view text, bool core);
-// Of the file that ROBINPIN_CONFIG names, or `path` where that is not empty. Errors: as above; at "open" where it can't be read.
+// Of the file that ROBINPIN_CONFIG names, or `path` where that is not empty. Errors: as above; at "open"
+// where it can't be read.
 trove::result<Settings> load(const std::string& path, bool core);
 std::string path_told(const std::string& path);
-// What a process that runs by `old` can't take on of `next`: the pointers of what only a new start does, none where it can
-// take on all.
+// What a process that runs by `old` can't take on of `next`: the pointers of what only a new start does, none
+// where it can take on all.
 std::vector<std::string> needs_start(const Settings& old, const Settings& next);
 
 }  // namespace robinpin::ground
--- a/src/lease/lease.cpp
+++ b/src/lease/lease.cpp
@@ -35,7 +35,8 @@
     const auto [end, wrong] = std::from_chars(w.data(), w.data() + w.size(), to);
     return wrong == std::errc() && end == w.data() + w.size();
   };
-  if (!number(words[0], r.number) || !number(words[1], r.renewals) || !number(words[2], r.term) || r.term < 0) return std::nullopt;
+  if (!number(words[0], r.number) || !number(words[1], r.renewals) || !number(words[2], r.term) || r.term < 0)
+    return std::nullopt;
   if (words.size() == 5) {
     if (words[3].empty() || words[4].empty()) return std::nullopt;
     r.holder = words[3];
@@ -47,10 +48,12 @@
 Claim::Claim(std::string lease, std::string node, std::string incarnation, Terms terms)
     : lease_(std::move(lease)), node_(std::move(node)), incarnation_(std::move(incarnation)), terms_(terms) {}
 
-// A holder's clock that is slow by the drift shows less than has gone by: it stops so much earlier. A taker's that is fast shows
-// more: it waits so much longer. The term lies between the two, in no clock's time.
+// A holder's clock that is slow by the drift shows less than has gone by: it stops so much earlier. A taker's
+// that is fast shows more: it waits so much longer. The term lies between the two, in no clock's time.
 micros Claim::acts() const { return micros(std::floor(double(terms_.term) * (1 - terms_.drift))); }
-micros Claim::waits(const Record& r) const { return micros(std::ceil(double(std::max(r.term, micros(0))) * (1 + terms_.drift))); }
+micros Claim::waits(const Record& r) const {
+  return micros(std::ceil(double(std::max(r.term, micros(0))) * (1 + terms_.drift)));
+}
 
 std::optional<Want> Claim::send(step what, Record record, micros now) {
   Call c{what, {}, std::move(record), now};
@@ -138,10 +141,13 @@
     return;
   }
   if (o.how != fate::chosen) {
-    // Not done, or overtaken: what stands has to be read anew. Until then a holder acts by what was acknowledged.
+    // Not done, or overtaken: what stands has to be read anew. Until then a holder acts by what was
+    // acknowledged.
     if (c.what == step::renew) ++renewals_missed;
-    if (o.how == fate::overtaken) seen_ = holding_ = false, until_ = 0;
-    else if (c.what != step::read && c.want.what == wish::write && c.what != step::renew) seen_ = seen_ && c.what == step::give_back;
+    if (o.how == fate::overtaken)
+      seen_ = holding_ = false, until_ = 0;
+    else if (c.what != step::read && c.want.what == wish::write && c.what != step::renew)
+      seen_ = seen_ && c.what == step::give_back;
     if (c.what == step::renew) renew_at_ = now + terms_.term / 16;
     return;
   }
@@ -152,7 +158,8 @@
   holding_ = c.what == step::take || c.what == step::renew;
   if (c.what == step::take) ++takings;
   if (holding_) {
-    // By the moment it was sent, never by the one when the answer came: a taker counts from when it could first see it.
+    // By the moment it was sent, never by the one when the answer came: a taker counts from when it could
+    // first see it.
     until_ = c.sent + acts();
     renew_at_ = c.sent + terms_.term / 3;
   } else {
@@ -171,11 +178,13 @@
 
 std::string Claim::state() const {
   const auto call = [](const std::optional<Call>& c) {
-    return c ? std::to_string(int(c->what)) + c->want.by + "@" + std::to_string(c->sent) + c->record.text() : std::string("-");
+    return c ? std::to_string(int(c->what)) + c->want.by + "@" + std::to_string(c->sent) + c->record.text()
+             : std::string("-");
   };
   std::string s = std::string(wanted_ ? "w" : "") + (holding_ ? "h" : "") + (seen_ ? "s" : "");
   for (const micros t : {until_, renew_at_, read_at_, seen_since_, late_}) s += "," + std::to_string(t);
-  return s + "," + std::to_string(version_) + "," + std::to_string(marks_) + known_.text() + call(out_) + call(doubt_);
+  return s + "," + std::to_string(version_) + "," + std::to_string(marks_) + known_.text() + call(out_) +
+         call(doubt_);
 }
 
 }  // namespace robinpin::lease
--- a/src/lease/lease.h
+++ b/src/lease/lease.h
@@ -1,5 +1,6 @@
-// A lease: who may act on a task, until when, and with which number. One node's side of one lease; the record itself is a
-// register that the fleet agrees on. Told the time by a clock that goes on in sleep; free of I/O and globals.
+// A lease: who may act on a task, until when, and with which number. One node's side of one lease; the record
+// itself is a register that the fleet agrees on. Told the time by a clock that goes on in sleep; free of I/O
+// and globals.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +19,8 @@
   double drift = 0.01;      // a clock runs off by this share at the most, either way
 };
 
-// What the register holds. The number grows with every taking and stays when the lease is given back or deleted.
+// What the register holds. The number grows with every taking and stays when the lease is given back or
+// deleted.
 struct Record {
   std::uint64_t number = 0, renewals = 0;
   micros term = 0;
@@ -44,7 +46,8 @@
   Claim(std::string lease, std::string node, std::string incarnation, Terms terms);
 
   void wants(bool wanted) { wanted_ = wanted; }  // no: it is given back, and not taken again
-  // Of those who wait, the how-manieth this node is: each rank waits so much longer, so that hundreds are no herd.
+  // Of those who wait, the how-manieth this node is: each rank waits so much longer, so that hundreds are no
+  // herd.
   void rank(int n, micros each = 50'000) { late_ = n * each; }
 
   // The next call on the register, if one is due; none while one is out. Its caller says when it was sent.
@@ -53,7 +56,7 @@
   void ended(const consensus::Outcome& outcome, micros now);
 
   May may(micros now, micros step = 0) const;
-  bool holds() const { return holding_; }          // as the register says; whether it may act, may() says
+  bool holds() const { return holding_; }  // as the register says; whether it may act, may() says
   bool in_doubt() const { return doubt_.has_value(); }  // a write of it may stand or not
   const Record& record() const { return known_; }
   std::string state() const;  // all of it, for exploration
@@ -69,7 +72,7 @@
   };
   std::optional<consensus::Want> send(step what, Record record, micros now);
   void saw(const consensus::Value& value, micros now);
-  micros acts() const;   // by a holder's own clock
+  micros acts() const;                       // by a holder's own clock
   micros waits(const Record& record) const;  // by a taker's
 
   std::string lease_, node_, incarnation_;
@@ -77,8 +80,8 @@
   bool wanted_ = true, holding_ = false;
   micros late_ = 0, until_ = 0, renew_at_ = 0, read_at_ = 0;
   std::uint64_t marks_ = 0, version_ = 0;
-  bool seen_ = false;        // anything of the register
-  micros seen_since_ = 0;    // this version of it
+  bool seen_ = false;      // anything of the register
+  micros seen_since_ = 0;  // this version of it
   Record known_;
   std::optional<Call> out_, doubt_;
 };
--- a/src/limits/limits.h
+++ b/src/limits/limits.h
@@ -1,6 +1,6 @@
-// Limits per route: which route a txn meets, what that route allows it, and whether the route takes one more now.
-// Free of I/O, clock and globals: called with the time, answers by value. What it finds goes to the decision module
-// as `Allowed`; nothing is posted, repeated or declined here.
+// Limits per route: which route a txn meets, what that route allows it, and whether the route takes one more
+// now. Free of I/O, clock and globals: called with the time, answers by value. What it finds goes to the
+// decision module as `Allowed`; nothing is posted, repeated or declined here.
 #pragma once
 
 #include <cstdint>
@@ -65,8 +65,9 @@
   Place place;
 };
 
-// The routes in order, first match wins; compiled once, so that a look-up costs by the path and not by the number
-// of routes. The path of a txn is compared in its plain form: dot segments and needless escapes taken out.
+// The routes in order, first match wins; compiled once, so that a look-up costs by the path and not by the
+// number of routes. The path of a txn is compared in its plain form: dot segments and needless escapes taken
+// out.
 class Table {
  public:
   // Routes that `before` has by the same name go on with its accounts.
@@ -82,8 +83,8 @@
  private:
   struct Prefix {
     std::string path;
-    int above = any;   // the longest other prefix of this one
-    int first = 0;     // the first route here or above
+    int above = any;    // the longest other prefix of this one
+    int first = 0;      // the first route here or above
     unsigned says = 0;  // which of scheme, tenant and method its routes say: a bit for each of the eight ways
     std::vector<std::pair<std::uint64_t, int>> routes;  // by what they say of scheme, tenant and method
   };
@@ -92,7 +93,7 @@
 
   std::vector<Route> routes_;
   std::vector<std::shared_ptr<Account>> accounts_;
-  std::vector<Prefix> prefixes_;    // by path
+  std::vector<Prefix> prefixes_;  // by path
   std::map<std::string, int, std::less<>> methods_;
 };
 
--- a/src/locus/disk.cpp
+++ b/src/locus/disk.cpp
@@ -37,7 +37,9 @@
 
 trove::result<Kept> kept(const std::vector<trove::Trove::Pair>& held) {
   Kept k;
-  const auto damaged = [](const std::string& name) { return boost::leaf::new_error(trove::Trouble{"damage", name, "can't be read"}); };
+  const auto damaged = [](const std::string& name) {
+    return boost::leaf::new_error(trove::Trouble{"damage", name, "can't be read"});
+  };
   for (const auto& [name, text] : held) {
     if (name == own_name) {
       Own own;
@@ -67,7 +69,11 @@
 void put(trove::Trove::Batch& batch, const std::string& name, const consensus::Slot& slot) {
   batch.put.emplace_back(std::string(slot_mark) + name, text_of(slot));
 }
-void put(trove::Trove::Batch& batch, const creed::Item& item) { batch.put.emplace_back(std::string(item_mark) + item.name, text_of(item)); }
-void drop(trove::Trove::Batch& batch, const std::string& item) { batch.drop.push_back(std::string(item_mark) + item); }
+void put(trove::Trove::Batch& batch, const creed::Item& item) {
+  batch.put.emplace_back(std::string(item_mark) + item.name, text_of(item));
+}
+void drop(trove::Trove::Batch& batch, const std::string& item) {
+  batch.drop.push_back(std::string(item_mark) + item);
+}
 
 }  // namespace robinpin::locus
--- a/src/locus/disk.h
+++ b/src/locus/disk.h
@@ -1,5 +1,5 @@
-// A core's records in its trove: who this copy is, what it has promised and accepted, the settled state. Free of I/O
-// beside the trove.
+// A core's records in its trove: who this copy is, what it has promised and accepted, the settled state. Free
+// of I/O beside the trove.
 #pragma once
 
 #include <optional>
@@ -31,7 +31,7 @@
   }
 };
 
-struct Kept {  // all that a disk holds
+struct Kept {              // all that a disk holds
   std::optional<Own> own;  // none: an empty one
   std::map<std::string, consensus::Slot> slots;
   std::vector<creed::Item> items;
--- a/src/locus/judge.cpp
+++ b/src/locus/judge.cpp
@@ -39,8 +39,10 @@
 }
 
 Call::Call(Order order) : is_(order.is) {
-  if (is_ == Order::what::adjust) change_ = creed::read_call(order.text);
-  else zone_ = std::move(order.text);
+  if (is_ == Order::what::adjust)
+    change_ = creed::read_call(order.text);
+  else
+    zone_ = std::move(order.text);
 }
 
 Outcome Call::judge(View& view) const {
@@ -51,16 +53,21 @@
     return taken;
   };
   switch (is_) {
-    case Order::what::read: return taken;
-    case Order::what::begin: return drop_or_set(std::string(creed::evacuation_mark) + zone_, false, "{}");
-    case Order::what::finish: return drop_or_set(std::string(creed::evacuation_mark) + zone_, true, "");
+    case Order::what::read:
+      return taken;
+    case Order::what::begin:
+      return drop_or_set(std::string(creed::evacuation_mark) + zone_, false, "{}");
+    case Order::what::finish:
+      return drop_or_set(std::string(creed::evacuation_mark) + zone_, true, "");
     case Order::what::size: {
       std::size_t n = 0;
       const auto [end, wrong] = std::from_chars(zone_.data(), zone_.data() + zone_.size(), n);
-      if (wrong != std::errc() || end != zone_.data() + zone_.size() || n < 1 || n > 7) return {400, R"({"fault":"from 1 to 7 voters"})"};
+      if (wrong != std::errc() || end != zone_.data() + zone_.size() || n < 1 || n > 7)
+        return {400, R"({"fault":"from 1 to 7 voters"})"};
       return drop_or_set(std::string(size_name), false, std::to_string(n));
     }
-    case Order::what::adjust: break;
+    case Order::what::adjust:
+      break;
   }
   if (!change_.faults.empty()) return {400, creed::faults_as_json(change_.faults)};
   View after = view;
@@ -71,7 +78,8 @@
     const creed::Item* held = after.find(i.name);
     changes.push_back(!held || held->version < i.version);
     if (held && held->version == i.version && !creed::same_wording(*held, i))
-      clashes.push_back({i.name.substr(i.name.find('/') + 1), "version " + creed::version_text(i.version) + " stands in another wording"});
+      clashes.push_back({i.name.substr(i.name.find('/') + 1),
+                         "version " + creed::version_text(i.version) + " stands in another wording"});
     if (!changes.back()) continue;
     if (size_of(i) > most_item) return {413, R"({"fault":"no item may have over 48,000 bytes"})"};
     after.put(i), bytes += size_of(i);
@@ -80,12 +88,15 @@
   for (const creed::Need& n : change_.needs) {
     if (!changes[n.item]) continue;
     const creed::Item* held = after.find(n.service);
-    if (!held || held->dropped) faults.push_back({n.pointer, "target: nobody knows the service " + n.service.substr(n.service.find('/') + 1)});
+    if (!held || held->dropped)
+      faults.push_back(
+          {n.pointer, "target: nobody knows the service " + n.service.substr(n.service.find('/') + 1)});
   }
   if (!faults.empty()) return {400, creed::faults_as_json(faults)};
   if (!clashes.empty()) return {409, creed::faults_as_json(clashes)};
   if (bytes > most_change) return {413, R"({"fault":"one call brings at most 4,000,000 bytes of items"})"};
-  if (bytes > 0 && (after.standing() > creed::Creed::most_items || after.bytes() > creed::Creed::most_bytes) &&
+  if (bytes > 0 &&
+      (after.standing() > creed::Creed::most_items || after.bytes() > creed::Creed::most_bytes) &&
       (after.standing() > view.standing() || after.bytes() > view.bytes()))
     return {507, R"({"fault":"no room: at most 20,000 items and 24,000,000 bytes stand"})"};
   view = std::move(after);
--- a/src/locus/judge.h
+++ b/src/locus/judge.h
@@ -1,4 +1,5 @@
-// What an operator's call comes to, held against a state: what it changes, or the answer that it gets. Free of I/O.
+// What an operator's call comes to, held against a state: what it changes, or the answer that it gets. Free
+// of I/O.
 #pragma once
 
 #include <functional>
--- a/src/locus/keep.cpp
+++ b/src/locus/keep.cpp
@@ -21,7 +21,8 @@
 constexpr std::size_t most_said = 32, longest_said = 20'000, most_beats = 8, batch_bytes = 1'000'000;
 constexpr std::int64_t yield = 10'000;
 constexpr std::size_t burst_pieces = 4, piece_bytes = 12'000, spread_at_most = 64;
-constexpr std::int64_t forgotten = 10'000'000;  // microseconds: a core machine unheard for so long is no peer any more
+constexpr std::int64_t forgotten =
+    10'000'000;  // microseconds: a core machine unheard for so long is no peer any more
 constexpr std::int64_t seats_pause = 250'000, succession_limit = 5'000'000;
 
 // A machine in a seat's words.
@@ -41,13 +42,22 @@
 // Before a machine's disk has one of its own: all founders know each other's.
 std::string founder(Machine m) { return "founder-" + text_of(m); }
 
-const Outcome no_majority{503, R"({"fault":"no majority of the core answers"})"}, can_not_tell{503, R"({"fault":"this core can't tell now"})"},
+const Outcome no_majority{503, R"({"fault":"no majority of the core answers"})"},
+    can_not_tell{503, R"({"fault":"this core can't tell now"})"},
     disk_failed{503, R"({"fault":"the disk has failed"})"};
 
 }  // namespace
 
-Keep::Keep(Machine self, creed::Creed& creed, rumour::Rumour& rumour, trove::Trove& trove, std::uint64_t chance, Spans spans)
-    : self_(self), creed_(creed), rumour_(rumour), trove_(trove), spans_(spans), chance_(chance), life_(chance_()), proposer_(text_of(self) + "/" + hex(life_)) {}
+Keep::Keep(Machine self, creed::Creed& creed, rumour::Rumour& rumour, trove::Trove& trove,
+           std::uint64_t chance, Spans spans)
+    : self_(self),
+      creed_(creed),
+      rumour_(rumour),
+      trove_(trove),
+      spans_(spans),
+      chance_(chance),
+      life_(chance_()),
+      proposer_(text_of(self) + "/" + hex(life_)) {}
 
 trove::result<void> Keep::begin(std::int64_t now, bool first_start, const std::vector<Machine>& seeds) {
   begun_ = now;
@@ -74,13 +84,16 @@
       memory.store = hex(chance_());
       for (const auto& [name, slot] : disk.slots) batch.drop.push_back(std::string(slot_mark) + name);
     }
-  } else if (const bool founds = first_start && std::find(seeds.begin(), seeds.end(), self_) != seeds.end(); founds) {
+  } else if (const bool founds = first_start && std::find(seeds.begin(), seeds.end(), self_) != seeds.end();
+             founds) {
     memory.store = founder(self_);
     Voters v;
     v.version = 1;
-    for (const Machine m : std::set<Machine>(seeds.begin(), seeds.end())) v.now.push_back({text_of(m), founder(m), text_of(m)});
+    for (const Machine m : std::set<Machine>(seeds.begin(), seeds.end()))
+      v.now.push_back({text_of(m), founder(m), text_of(m)});
     voter_.emplace(std::move(memory), false);
-    if (const auto change = voter_->found(v); !change || !put(*change, trove::Trove::lasting::synced)) return boost::leaf::new_error(*failed_);
+    if (const auto change = voter_->found(v); !change || !put(*change, trove::Trove::lasting::synced))
+      return boost::leaf::new_error(*failed_);
     changed = false;
   } else {
     memory.store = hex(chance_());
@@ -111,7 +124,10 @@
         BOOST_LEAF_CHECK(trove_.put(batch, how));
         return true;
       },
-      [&](const trove::Trouble& t) { return failed_ = t, false; }, [&] { return failed_ = trove::Trouble{"sync", "trove", "unknown"}, false; });
+      [&](const trove::Trouble& t) { return failed_ = t, false; },
+      [&] {
+        return failed_ = trove::Trouble{"sync", "trove", "unknown"}, false;
+      });
 }
 
 bool Keep::put(const consensus::Change& change, trove::Trove::lasting how) {
@@ -176,12 +192,16 @@
   done(std::move(outcome));
 }
 
-// Before anything that has come is looked at: a process that stood still must not end an order by answers of before.
+// Before anything that has come is looked at: a process that stood still must not end an order by answers of
+// before.
 void Keep::expire(std::int64_t now) {
   for (std::size_t i = 0; i < orders_.size();)
-    if (failed_) answer(orders_.begin() + std::ptrdiff_t(i), disk_failed);
-    else if (now >= orders_[i].until) answer(orders_.begin() + std::ptrdiff_t(i), no_majority);
-    else ++i;
+    if (failed_)
+      answer(orders_.begin() + std::ptrdiff_t(i), disk_failed);
+    else if (now >= orders_[i].until)
+      answer(orders_.begin() + std::ptrdiff_t(i), no_majority);
+    else
+      ++i;
   const bool wanted = std::any_of(orders_.begin(), orders_.end(), [](const Waiting& w) { return w.tried; });
   if (attempt_ && (failed_ || now >= attempt_->begun + patience || (!wanted && doubtful_since_ == 0))) {
     attempt_.reset();  // what it has sent may come to stand: nobody was told either way
@@ -217,7 +237,8 @@
     want.by = proposer_ + "/" + std::to_string(++attempts_);
   }
   const auto b = ballot();
-  attempt_.emplace(Attempt{consensus::Proposal(voters(), b, want), !changes.empty(), {}, now, 0, again, holds_.number, b});
+  attempt_.emplace(
+      Attempt{consensus::Proposal(voters(), b, want), !changes.empty(), {}, now, 0, again, holds_.number, b});
   take_step(now, attempt_, attempt_->proposal.begin(), out);
 }
 
@@ -226,7 +247,9 @@
     attempt->unanswered.clear();
     for (auto& s : step.send) {
       const Machine m = machine_of(s.to.address);
-      auto bytes = written(kind::ask, Asking{std::move(s.ask), holds_, last_.version > 0 && last_.version == holds_.number, store(), voter_->memory().counter});
+      auto bytes = written(
+          kind::ask, Asking{std::move(s.ask), holds_, last_.version > 0 && last_.version == holds_.number,
+                            store(), voter_->memory().counter});
       Parcels::send(m, bytes, out);
       attempt->unanswered[s.to.store] = {m, std::move(bytes)};
     }
@@ -239,8 +262,10 @@
   attempt.reset();
   round_ = std::max(round_, step.end->round);
   if (step.end->newer) told(now, *step.end->newer);
-  if (&attempt == &seats_) seats_ended(now, *step.end, out);
-  else ended(now, *step.end, wrote, base, out);
+  if (&attempt == &seats_)
+    seats_ended(now, *step.end, out);
+  else
+    ended(now, *step.end, wrote, base, out);
 }
 
 void Keep::ended(std::int64_t now, const consensus::Outcome& o, bool wrote, std::uint64_t base, Outbox& out) {
@@ -250,18 +275,24 @@
       settled(now, o.value, out);
       beat(now, out, true);
     }
-    // What they were judged on was current, and is followed by nothing but what this attempt itself has settled.
+    // What they were judged on was current, and is followed by nothing but what this attempt itself has
+    // settled.
     for (std::size_t i = 0; i < orders_.size();)
-      if (orders_[i].tried) answer(orders_.begin() + std::ptrdiff_t(i), orders_[i].verdict);
-      else ++i;
+      if (orders_[i].tried)
+        answer(orders_.begin() + std::ptrdiff_t(i), orders_[i].verdict);
+      else
+        ++i;
   } else if (o.how == fate::chosen || o.how == fate::refused) {
     settled(now, o.value, out);  // others came first: judged anew
   } else if (o.how == fate::full) {
     for (std::size_t i = 0; i < orders_.size();)
-      if (orders_[i].tried) answer(orders_.begin() + std::ptrdiff_t(i), {507, R"({"fault":"too much at once"})"});
-      else ++i;
+      if (orders_[i].tried)
+        answer(orders_.begin() + std::ptrdiff_t(i), {507, R"({"fault":"too much at once"})"});
+      else
+        ++i;
   } else {
-    not_before_ = now + consensus::wait_before(int(std::min<std::uint64_t>(++tries_, 8)), double(chance_() >> 11) / double(1ULL << 53));
+    not_before_ = now + consensus::wait_before(int(std::min<std::uint64_t>(++tries_, 8)),
+                                               double(chance_() >> 11) / double(1ULL << 53));
   }
   for (Waiting& w : orders_) w.tried = false;
   if (!attempt_) propose(now, out);
@@ -280,8 +311,8 @@
   known_ = std::max(known_, other.number);
   const auto& slots = voter_->memory().slots;
   const auto it = slots.find(std::string(state_register));
-  if (it != slots.end() && other.number == holds_.number + 1 && it->second.value.version == other.number && it->second.value.by == other.by &&
-      apply(it->second.value, out))
+  if (it != slots.end() && other.number == holds_.number + 1 && it->second.value.version == other.number &&
+      it->second.value.by == other.by && apply(it->second.value, out))
     return;
   chase(now, out);
 }
@@ -305,7 +336,8 @@
   if (chase_ && known_ <= holds_.number) chase_.reset();
   if (tries_ == 0) not_before_ = 0;
   locus::put(batch, own());
-  // In time: until it lasts, the register of a majority has it, and whoever accepts the next one syncs this with it.
+  // In time: until it lasts, the register of a majority has it, and whoever accepts the next one syncs this
+  // with it.
   if (put(std::move(batch), trove::Trove::lasting::in_time)) rumour_.spread(news, out);
   return true;
 }
@@ -325,7 +357,9 @@
   const bool stuck = chase_->next > 0 && chase_->pause > 2 * again;
   std::vector<Machine> able;
   for (const auto& [m, p] : peers_)
-    if (p.told.ready && p.told.holds.number > holds_.number && now - p.heard < forgotten && !(stuck && m == chase_->from && peers_.size() > 1)) able.push_back(m);
+    if (p.told.ready && p.told.holds.number > holds_.number && now - p.heard < forgotten &&
+        !(stuck && m == chase_->from && peers_.size() > 1))
+      able.push_back(m);
   chase_->pause = std::min(4 * again, chase_->next == 0 ? again : 2 * chase_->pause);
   chase_->next = now + chase_->pause;
   if (able.empty()) return;
@@ -355,7 +389,8 @@
     if (Cursor at{item.at, name}; at > f.after) wanted.emplace_back(std::move(at), &item);
   constexpr std::size_t at_once = 2'000;
   const auto sorted = wanted.begin() + std::ptrdiff_t(std::min(at_once, wanted.size()));
-  std::partial_sort(wanted.begin(), sorted, wanted.end(), [](const Place& a, const Place& b) { return a.first < b.first; });
+  std::partial_sort(wanted.begin(), sorted, wanted.end(),
+                    [](const Place& a, const Place& b) { return a.first < b.first; });
   Fetched piece{f.id, holds_, creed_.floor(), f.after, f.after, false, false, {}};
   std::size_t bytes = 0, pieces = 0;
   for (auto it = wanted.begin();; ++it) {
@@ -378,7 +413,8 @@
 void Keep::heard_fetched(std::int64_t now, Machine from, const Fetched& f, Outbox& out) {
   if (!chase_ || from != chase_->from || f.id != chase_->id || f.after != chase_->after) return;
   Chase& c = *chase_;
-  // The other has lost what it had not synced; or let go of names that this copy may still hold, or has been sent.
+  // The other has lost what it had not synced; or let go of names that this copy may still hold, or has been
+  // sent.
   const bool gone_back = f.holds.number < c.least;
   const bool let_go = c.snapshot ? c.after.at > 0 && f.floor != c.floor : f.floor > holds_.number;
   if (gone_back || let_go) {
@@ -420,7 +456,8 @@
   last_ = {};
   known_ = std::max(known_, holds_.number);
   locus::put(batch, own());
-  if (put(std::move(batch), trove::Trove::lasting::in_time) && news.size() <= spread_at_most) rumour_.spread(news, out);
+  if (put(std::move(batch), trove::Trove::lasting::in_time) && news.size() <= spread_at_most)
+    rumour_.spread(news, out);
 }
 
 // ---- what comes ----
@@ -456,8 +493,8 @@
   work(now, out);
 }
 
-// Up to where another's store was seen: a copy of it from before can't pass for it. In time: a majority would have to lose it
-// with the power, beside the disk that was put back.
+// Up to where another's store was seen: a copy of it from before can't pass for it. In time: a majority would
+// have to lose it with the power, beside the disk that was put back.
 void Keep::saw(const std::string& store, std::uint64_t counter) {
   if (const auto change = voter_->saw(store, counter)) put(*change, trove::Trove::lasting::in_time);
 }
@@ -467,28 +504,34 @@
   learn(now, a.holds, out);
   // An ask that comes again is answered as it was: a promise is given once.
   const auto& ask = a.ask;
-  std::string key = std::to_string(from) + " " + ask.ballot.proposer + " " + std::to_string(ask.ballot.round) + " " + std::to_string(int(ask.what)) + " " + ask.store;
+  std::string key = std::to_string(from) + " " + ask.ballot.proposer + " " +
+                    std::to_string(ask.ballot.round) + " " + std::to_string(int(ask.what)) + " " + ask.store;
   for (const auto& [asked, bytes] : said_)
     if (asked == key) return Parcels::send(from, bytes, out);
   Answering answer;
-  if (ask.what == phase::accept && ask.name == state_register && ask.store == store() && ask.value.version > holds_.number + 1) {
+  if (ask.what == phase::accept && ask.name == state_register && ask.store == store() &&
+      ask.value.version > holds_.number + 1) {
     // It lacks what this change is built on, and so could not hand its state on.
-    answer.reply.how = verdict::returning, answer.reply.what = ask.what, answer.reply.store = store(), answer.reply.ballot = ask.ballot;
+    answer.reply.how = verdict::returning, answer.reply.what = ask.what, answer.reply.store = store(),
+    answer.reply.ballot = ask.ballot;
     known_ = std::max(known_, ask.value.version - 1);
     chase(now, out);
   } else {
     const auto epoch = voters().version;
     auto heard = voter_->ask(ask);
-    if (heard.change && !put(*heard.change, trove::Trove::lasting::synced)) return;  // never answered before it lasts
+    if (heard.change && !put(*heard.change, trove::Trove::lasting::synced))
+      return;  // never answered before it lasts
     if (voters().version != epoch) cores_changed(now);
     answer.reply = std::move(heard.reply);
-    if (a.knows_text && answer.reply.value.version == a.holds.number && answer.reply.value.by == a.holds.by) answer.reply.value.text.clear();
+    if (a.knows_text && answer.reply.value.version == a.holds.number && answer.reply.value.by == a.holds.by)
+      answer.reply.value.text.clear();
   }
   answer.holds = holds_;
   auto bytes = written(kind::answer, answer);
   if (answer.reply.how == verdict::yes && ask.what == phase::prepare) {
     // Who is at it is let finish: two that outbid each other get on more slowly than one after the other.
-    if (from != self_ && !attempt_) not_before_ = std::max(not_before_, now + yield + std::int64_t(chance_() % std::uint64_t(yield)));
+    if (from != self_ && !attempt_)
+      not_before_ = std::max(not_before_, now + yield + std::int64_t(chance_() % std::uint64_t(yield)));
     if (bytes.size() > longest_said) return Parcels::send(from, std::move(bytes), out);
     if (said_.size() >= most_said) said_.pop_front();
     said_.emplace_back(std::move(key), bytes);
@@ -507,12 +550,16 @@
   for (auto* attempt : {&attempt_, &seats_}) {
     if (!*attempt) continue;
     const auto asked = (*attempt)->unanswered.find(r.store);
-    if (asked == (*attempt)->unanswered.end() || asked->second.first != from) continue;  // a copy of a disk elsewhere is not the one asked
+    if (asked == (*attempt)->unanswered.end() || asked->second.first != from)
+      continue;  // a copy of a disk elsewhere is not the one asked
     round_ = std::max(round_, r.promised.round);
-    if ((*attempt)->answers(r.ballot) && (r.how == verdict::lower || r.how == verdict::stale)) (*attempt)->refused = true;
+    if ((*attempt)->answers(r.ballot) && (r.how == verdict::lower || r.how == verdict::stale))
+      (*attempt)->refused = true;
     consensus::Step step = (*attempt)->proposal.heard(r);
     take_step(now, *attempt, std::move(step), out);
-    if (*attempt && r.how == verdict::yes && r.what == (*attempt)->proposal.stage() && (*attempt)->answers(r.ballot)) (*attempt)->unanswered.erase(r.store);
+    if (*attempt && r.how == verdict::yes && r.what == (*attempt)->proposal.stage() &&
+        (*attempt)->answers(r.ballot))
+      (*attempt)->unanswered.erase(r.store);
   }
   learn(now, a.holds, out);
 }
@@ -524,7 +571,8 @@
   b.life = life_, b.sequence = ++said_beats_;
   b.store = store();
   b.counter = voter_->memory().counter;
-  if (const auto it = peers_.find(to); it != peers_.end()) b.yours = it->second.told.store, b.seen = voter_->seen_of(b.yours);
+  if (const auto it = peers_.find(to); it != peers_.end())
+    b.yours = it->second.told.store, b.seen = voter_->seen_of(b.yours);
   b.holds = holds_;
   b.accepted = votes() ? accepted() : 0;
   b.voters = voters();
@@ -534,7 +582,9 @@
   for (const Seat& s : voters().now) {
     const auto it = heard_.find(s.store);
     const std::int64_t since = it == heard_.end() ? begun_ : it->second;
-    if (s.store != store()) b.ages.emplace_back(s.store, std::uint32_t(std::min<std::int64_t>(std::max<std::int64_t>(0, now - since) / 1000, 1'000'000)));
+    if (s.store != store())
+      b.ages.emplace_back(s.store, std::uint32_t(std::min<std::int64_t>(
+                                       std::max<std::int64_t>(0, now - since) / 1000, 1'000'000)));
   }
   return b;
 }
@@ -567,14 +617,18 @@
 void Keep::heard_beat(std::int64_t now, Machine from, Beat b, Outbox& out) {
   if (b.store == store()) return;  // a copy of this disk at another address: it finds out by itself
   if (!peers_.contains(from) && peers_.size() >= most_peers) {
-    const auto oldest = std::min_element(peers_.begin(), peers_.end(), [](const auto& x, const auto& y) { return x.second.heard < y.second.heard; });
+    const auto oldest = std::min_element(peers_.begin(), peers_.end(), [](const auto& x, const auto& y) {
+      return x.second.heard < y.second.heard;
+    });
     if (now - oldest->second.heard < forgotten) return;
     peers_.erase(oldest);
   }
   Peer& p = peers_[from];
-  // Late or doubled: it would make a machine that has said that it leaves, or has a new disk, look as it was. Which of two lives is the
-  // present one is told by who answers what was asked just now: a late word may be the first that is heard of either.
-  const auto sent = std::find_if(beats_.begin(), beats_.end(), [&](const auto& x) { return b.answer && b.echo != 0 && x.first == b.echo; });
+  // Late or doubled: it would make a machine that has said that it leaves, or has a new disk, look as it was.
+  // Which of two lives is the present one is told by who answers what was asked just now: a late word may be
+  // the first that is heard of either.
+  const auto sent = std::find_if(beats_.begin(), beats_.end(),
+                                 [&](const auto& x) { return b.answer && b.echo != 0 && x.first == b.echo; });
   if (const auto known = std::find(p.lives.begin(), p.lives.end(), b.life); b.life == p.told.life) {
     if (b.sequence <= p.told.sequence) return;
   } else if (known != p.lives.end()) {
@@ -590,12 +644,15 @@
   if (b.yours == store()) {
     const bool returned = voter_->standing() == verdict::returning;
     voter_->witnessed(b.store, b.seen);
-    if (voter_->standing() == verdict::older && !failed_) become(hex(chance_()));
-    else if (returned && voter_->standing() == verdict::yes) put(voter_->lives(), trove::Trove::lasting::synced);
+    if (voter_->standing() == verdict::older && !failed_)
+      become(hex(chance_()));
+    else if (returned && voter_->standing() == verdict::yes)
+      put(voter_->lives(), trove::Trove::lasting::synced);
   }
   saw(b.store, b.counter);
   if (b.answer) {
-    if (sent != beats_.end() && sent->second >= p.contact) p.contact = sent->second, p.number = std::max(b.holds.number, b.accepted), p.votes = b.votes;
+    if (sent != beats_.end() && sent->second >= p.contact)
+      p.contact = sent->second, p.number = std::max(b.holds.number, b.accepted), p.votes = b.votes;
   } else {
     Beat reply = own_beat(now, from);
     reply.yours = b.store, reply.seen = voter_->seen_of(b.store);
@@ -637,7 +694,8 @@
     }
     const auto it = peers_.find(m);
     // A word from before the present list says nothing of who holds a seat in it.
-    if (it != peers_.end() && now - it->second.heard < in_contact && it->second.told.voters.version >= voters().version &&
+    if (it != peers_.end() && now - it->second.heard < in_contact &&
+        it->second.told.voters.version >= voters().version &&
         (it->second.told.store != s.store || it->second.told.leaving)) {
       found.insert(s.store);
       continue;
@@ -661,7 +719,8 @@
   std::set<std::string> found;
   for (const Seat& s : voters().now) {
     const auto it = peers_.find(machine_of(s.address));
-    const bool answers = it != peers_.end() && it->second.told.store == s.store && it->second.votes && it->second.contact >= 0 && now - it->second.contact <= 2 * beat_pause;
+    const bool answers = it != peers_.end() && it->second.told.store == s.store && it->second.votes &&
+                         it->second.contact >= 0 && now - it->second.contact <= 2 * beat_pause;
     if (s.store != store() && !answers) found.insert(s.store);
   }
   return found;
@@ -671,7 +730,8 @@
   std::map<Machine, std::string> found;
   if (!voters().seat(store()) && ready() && !leaving_ && known_ <= holds_.number) found[self_] = store();
   for (const auto& [m, p] : peers_)
-    if (now - p.heard < in_contact && p.told.ready && !p.told.leaving && p.told.voters.version >= voters().version && !voters().seat(p.told.store) &&
+    if (now - p.heard < in_contact && p.told.ready && !p.told.leaving &&
+        p.told.voters.version >= voters().version && !voters().seat(p.told.store) &&
         p.told.holds.number + 2 >= holds_.number)
       found[m] = p.told.store;
   std::vector<Standby> all;
@@ -682,7 +742,9 @@
 std::size_t Keep::wanted_size() const {
   const creed::Item* i = creed_.find(size_name);
   std::size_t n = 0;
-  if (!i || i->dropped || std::from_chars(i->text.data(), i->text.data() + i->text.size(), n).ec != std::errc() || n == 0) return voters().now.size();
+  if (!i || i->dropped ||
+      std::from_chars(i->text.data(), i->text.data() + i->text.size(), n).ec != std::errc() || n == 0)
+    return voters().now.size();
   return n;
 }
 
@@ -728,7 +790,8 @@
   if (!succession_) return;
   if (o.how == fate::chosen && job_.name == state_register) settled(now, o.value, out);
   // Whoever brought a later list may have gone before it told anybody.
-  if (job_.name == consensus::voters_register && (o.how == fate::refused || o.how == fate::chosen) && o.value.version > voters().version)
+  if (job_.name == consensus::voters_register && (o.how == fate::refused || o.how == fate::chosen) &&
+      o.value.version > voters().version)
     if (const auto settled_list = Voters::read(o.value.version, o.value.text)) {
       told(now, *settled_list);
       beat(now, out, true);
@@ -756,15 +819,17 @@
   if (failed_) return;
   // Of one that has no seat any more nobody counts it: others settle without it, and it would ask for ever.
   doubtful_since_ = votes() && accepted() > holds_.number ? (doubtful_since_ > 0 ? doubtful_since_ : now) : 0;
-  // While the list changes whoever takes the seat has it already and stands by no more; and just after, who stands by has not yet
-  // said that it knows the list. The one that leaves counts until then.
+  // While the list changes whoever takes the seat has it already and stands by no more; and just after, who
+  // stands by has not yet said that it knows the list. The one that leaves counts until then.
   can_hand_over_ = voters().changing() || now - listed_ <= beat_pause || !standbys(now).empty();
   if (now >= next_beat_) {
-    // Somebody unheard is looked into at once: the sooner a seat is given away the sooner a further loss is borne.
+    // Somebody unheard is looked into at once: the sooner a seat is given away the sooner a further loss is
+    // borne.
     bool amiss = !fresh(now) || known_ > holds_.number || voters().changing();
     for (const Seat& s : voters().now) {
       const auto it = heard_.find(s.store);
-      amiss = amiss || (s.store != store() && now - (it == heard_.end() ? begun_ : it->second) > 3 * beat_pause / 2);
+      amiss = amiss ||
+              (s.store != store() && now - (it == heard_.end() ? begun_ : it->second) > 3 * beat_pause / 2);
     }
     next_beat_ = now + (amiss ? beat_pause / 5 : beat_pause);
     beat(now, out, false);
@@ -773,12 +838,14 @@
   for (auto* attempt : {&attempt_, &seats_}) {
     if (!*attempt || now < (*attempt)->next) continue;
     if ((*attempt)->refused) {
-      // A higher ballot or a later list is needed anyway: those who say nothing may be down, and aren't waited for.
+      // A higher ballot or a later list is needed anyway: those who say nothing may be down, and aren't
+      // waited for.
       (*attempt)->refused = false;
       const auto ballot = (*attempt)->ballot;
       const auto silent = (*attempt)->unanswered;
       for (const auto& [store, asked] : silent)
-        if (*attempt && (*attempt)->answers(ballot)) take_step(now, *attempt, (*attempt)->proposal.lost(store, (*attempt)->proposal.stage()), out);
+        if (*attempt && (*attempt)->answers(ballot))
+          take_step(now, *attempt, (*attempt)->proposal.lost(store, (*attempt)->proposal.stage()), out);
       continue;
     }
     (*attempt)->pause = std::min(4 * again, 2 * (*attempt)->pause);
@@ -791,10 +858,14 @@
 
 std::int64_t Keep::wake() const {
   std::int64_t at = std::numeric_limits<std::int64_t>::max();
-  if (attempt_) at = std::min(at, attempt_->next);
-  else if (!orders_.empty() && known_ <= holds_.number) at = std::min(at, not_before_);
-  if (seats_) at = std::min(at, seats_->next);
-  else if (succession_) at = std::min(at, next_seats_);
+  if (attempt_)
+    at = std::min(at, attempt_->next);
+  else if (!orders_.empty() && known_ <= holds_.number)
+    at = std::min(at, not_before_);
+  if (seats_)
+    at = std::min(at, seats_->next);
+  else if (succession_)
+    at = std::min(at, next_seats_);
   if (!orders_.empty()) at = std::min(at, orders_.front().until);
   if (chase_) at = std::min(at, chase_->next);
   return at;
--- a/src/locus/keep.h
+++ b/src/locus/keep.h
@@ -1,7 +1,7 @@
-// A core machine's part in keeping the control state: one register agreed by a majority of the voters, whose number N is the
-// N-th change of the state. Whoever has accepted N holds the state of N-1, so each majority holds the state; the next change
-// overwrites the register. No log, no leader: any core takes orders and proposes. Told the time, free of I/O beside the trove.
-// See docs/design/control.md.
+// A core machine's part in keeping the control state: one register agreed by a majority of the voters, whose
+// number N is the N-th change of the state. Whoever has accepted N holds the state of N-1, so each majority
+// holds the state; the next change overwrites the register. No log, no leader: any core takes orders and
+// proposes. Told the time, free of I/O beside the trove. See docs/design/control.md.
 #pragma once
 
 #include <cstdint>
@@ -27,26 +27,32 @@
 
 namespace robinpin::locus {
 
-struct Spans {                       // microseconds
-  std::int64_t contact = 3'000'000;  // a voter unheard by a majority for half of it gives its seat to a standby: before the next loss, which may
-                                     // come `settle` after its successor's start, it has to be done
+struct Spans {  // microseconds
+  std::int64_t contact =
+      3'000'000;  // a voter unheard by a majority for half of it gives its seat to a standby: before the next
+                  // loss, which may come `settle` after its successor's start, it has to be done
 };
 
 class Keep {
  public:
-  static constexpr std::int64_t patience = 850'000;       // microseconds: callers go elsewhere after a second of silence
-  static constexpr std::int64_t again = 70'000;           // until what got no answer is sent again, each time twice as long
-  static constexpr std::int64_t in_contact = 1'500'000;   // an answered beat says so much of the present
-  static constexpr std::int64_t beat_pause = 500'000;     // between beats; a fifth of it while something is amiss
-  static constexpr std::int64_t doubtful_for = 200'000;   // an accepted change that nobody has settled by then is settled
+  static constexpr std::int64_t patience =
+      850'000;  // microseconds: callers go elsewhere after a second of silence
+  static constexpr std::int64_t again =
+      70'000;  // until what got no answer is sent again, each time twice as long
+  static constexpr std::int64_t in_contact = 1'500'000;  // an answered beat says so much of the present
+  static constexpr std::int64_t beat_pause =
+      500'000;  // between beats; a fifth of it while something is amiss
+  static constexpr std::int64_t doubtful_for =
+      200'000;  // an accepted change that nobody has settled by then is settled
   static constexpr std::size_t most_orders = 64, most_peers = 16, most_lives = 8;
 
   using Done = std::function<void(Outcome)>;
 
-  Keep(Machine self, creed::Creed& creed, rumour::Rumour& rumour, trove::Trove& trove, std::uint64_t chance, Spans spans = {});
+  Keep(Machine self, creed::Creed& creed, rumour::Rumour& rumour, trove::Trove& trove, std::uint64_t chance,
+       Spans spans = {});
 
-  // What the disk holds is taken on. An empty one is a founder's at the system's first start, else it has to be taken in by the
-  // others. Errors: the disk can't be read, or written.
+  // What the disk holds is taken on. An empty one is a founder's at the system's first start, else it has to
+  // be taken in by the others. Errors: the disk can't be read, or written.
   trove::result<void> begin(std::int64_t now, bool first_start, const std::vector<Machine>& seeds);
   // Other machines to ask, where those it knows of don't answer.
   void seeds(const std::vector<Machine>& told) { seeds_ = told; }
@@ -90,7 +96,8 @@
   struct Attempt {  // one proposal on its way
     consensus::Proposal proposal;
     bool writes = false;
-    std::map<std::string, std::pair<Machine, std::string>> unanswered;  // by store: where, and what it was asked
+    std::map<std::string, std::pair<Machine, std::string>>
+        unanswered;  // by store: where, and what it was asked
     std::int64_t begun = 0, next = 0, pause = again;
     std::uint64_t base = 0;  // the number that its orders were judged on
     consensus::Ballot ballot{};
@@ -102,9 +109,10 @@
     Machine from = 0;
     Cursor after;
     bool snapshot = false;  // taken whole, in place of what is held
-    std::vector<creed::Item> items;  // put in at once when the last is there: the state is always one number's
-    std::uint64_t floor = 0;         // of the other
-    std::uint64_t least = 0;         // a number that it must have reached
+    std::vector<creed::Item>
+        items;                // put in at once when the last is there: the state is always one number's
+    std::uint64_t floor = 0;  // of the other
+    std::uint64_t least = 0;  // a number that it must have reached
     std::int64_t next = 0, pause = again;
   };
 
@@ -160,7 +168,7 @@
   std::vector<Machine> seeds_;
   std::optional<consensus::Voter> voter_;
   Stands holds_;
-  consensus::Value last_;  // what brought `holds_`, where it is known
+  consensus::Value last_;    // what brought `holds_`, where it is known
   std::uint64_t known_ = 0;  // the highest number heard of as settled
   std::uint64_t round_ = 0, tries_ = 0, attempts_ = 0, said_beats_ = 0;
   std::deque<Waiting> orders_;
@@ -176,7 +184,8 @@
   std::map<std::string, std::int64_t> heard_;  // voters' stores, when; or since when they have their seat
   std::deque<std::pair<std::uint64_t, std::int64_t>> beats_;  // echo, when sent; a few
   std::int64_t begun_ = 0, next_beat_ = 0;
-  std::deque<std::pair<std::string, std::string>> said_;  // asks that were answered lately, and the answers: one comes again
+  std::deque<std::pair<std::string, std::string>>
+      said_;  // asks that were answered lately, and the answers: one comes again
   Parcels parcels_;
   bool leaving_ = false, can_hand_over_ = false;
   std::optional<trove::Trouble> failed_;
