--- a/src/locus/wire.h
+++ b/src/locus/wire.h
@@ -1,4 +1,5 @@
-// What cores say to each other, as datagrams by cereal; longer ones in parts. Each is told from a rumour by its first byte.
+// What cores say to each other, as datagrams by cereal; longer ones in parts. Each is told from a rumour by
+// its first byte.
 #pragma once
 
 #include <cereal/types/utility.hpp>
@@ -60,9 +61,12 @@
 using rumour::Outbox;
 
 enum class kind : std::uint8_t { ask = 16, answer, beat, fetch, fetched, part };
-inline bool among_cores(std::string_view datagram) { return !datagram.empty() && std::uint8_t(datagram[0]) >= std::uint8_t(kind::ask); }
+inline bool among_cores(std::string_view datagram) {
+  return !datagram.empty() && std::uint8_t(datagram[0]) >= std::uint8_t(kind::ask);
+}
 
-// Which number its sender holds as settled, and which attempt brought that: who has accepted just that one holds it, too.
+// Which number its sender holds as settled, and which attempt brought that: who has accepted just that one
+// holds it, too.
 struct Stands {
   std::uint64_t number = 0;
   std::string by;
@@ -95,12 +99,13 @@
 };
 
 struct Beat {
-  std::uint64_t life = 0, sequence = 0;  // of its sender's process, drawn; grows with each: a late one can be known
-  std::uint64_t echo = 0;                // of the beat that this answers; 0: plain news
+  std::uint64_t life = 0,
+                sequence = 0;  // of its sender's process, drawn; grows with each: a late one can be known
+  std::uint64_t echo = 0;      // of the beat that this answers; 0: plain news
   bool answer = false;
   std::string store;
   std::uint64_t counter = 0;
-  std::string yours;       // whose counter `seen` is
+  std::string yours;  // whose counter `seen` is
   std::uint64_t seen = 0;
   Stands holds;
   std::uint64_t accepted = 0;  // the number in its own register, perhaps not settled
@@ -108,10 +113,12 @@
   bool votes = false;    // its disk is known to be the latest of its store
   bool ready = false;    // holds the state of its number whole
   bool leaving = false;  // is about to end for good, or does not know better
-  std::vector<std::pair<std::string, std::uint32_t>> ages;  // of each voter's store, milliseconds since it was heard
+  std::vector<std::pair<std::string, std::uint32_t>>
+      ages;  // of each voter's store, milliseconds since it was heard
   template <typename A>
   void serialize(A& a) {
-    a(life, sequence, echo, answer, store, counter, yours, seen, holds, accepted, voters, votes, ready, leaving, ages);
+    a(life, sequence, echo, answer, store, counter, yours, seen, holds, accepted, voters, votes, ready,
+      leaving, ages);
   }
 };
 
@@ -178,7 +185,8 @@
 // Messages longer than a datagram. What is lost of one is made good when it is sent again: parts add up.
 class Parcels {
  public:
-  static constexpr std::size_t part_bytes = 12'000, longest = 6'500'000, most = 24, most_bytes = 24'000'000;  // being put together; the oldest goes
+  static constexpr std::size_t part_bytes = 12'000, longest = 6'500'000, most = 24,
+                               most_bytes = 24'000'000;  // being put together; the oldest goes
 
   static void send(Machine to, std::string message, Outbox& out) {
     if (message.size() <= part_bytes) return out.push_back({to, std::move(message)});
@@ -201,7 +209,8 @@
     const Key key{from, p->id, p->size};
     auto it = open_.find(key);
     if (it == open_.end()) {
-      while (!order_.empty() && (order_.size() >= most || held_ + p->size > most_bytes)) close(Key(order_.front()));
+      while (!order_.empty() && (order_.size() >= most || held_ + p->size > most_bytes))
+        close(Key(order_.front()));
       held_ += p->size;
       it = open_.emplace(key, Open{std::string(p->size, '\0'), {}}).first;
       order_.push_back(key);
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -40,8 +40,8 @@
 namespace {
 
 spdlog::level::level_enum of(level l) {
-  constexpr std::array is = {spdlog::level::debug, spdlog::level::info, spdlog::level::warn, spdlog::level::err,
-                             spdlog::level::off};
+  constexpr std::array is = {spdlog::level::debug, spdlog::level::info, spdlog::level::warn,
+                             spdlog::level::err, spdlog::level::off};
   return is[std::size_t(l)];
 }
 
@@ -49,8 +49,7 @@
 class JsonLines final : public spdlog::formatter {
  public:
   void format(const spdlog::details::log_msg& m, spdlog::memory_buf_t& to) override {
-    const auto us =
-        std::chrono::duration_cast<std::chrono::microseconds>(m.time.time_since_epoch()).count();
+    const auto us = std::chrono::duration_cast<std::chrono::microseconds>(m.time.time_since_epoch()).count();
     const auto name = spdlog::level::to_string_view(m.level);
     fmt::format_to(std::back_inserter(to), R"({{"wall_us":{},"level":"{}","part":"{}","text":")", us,
                    std::string_view(name.data(), name.size()),
@@ -100,15 +99,16 @@
 
   void tell(const std::vector<Folding::Line>& due) {
     for (const auto& line : due) {
-      const std::string text = fmt::format("{} (and {} times more within {:.0f} s)", line.text, line.times - 1,
-                                           double(line.within.count()) / 1000);
+      const std::string text = fmt::format("{} (and {} times more within {:.0f} s)", line.text,
+                                           line.times - 1, double(line.within.count()) / 1000);
       put({spdlog::source_loc{}, part_names[line.logger], spdlog::level::level_enum(line.level), text});
     }
   }
 
   void put(const spdlog::details::log_msg& m) {
     if (untold_ > 0 && writable()) {
-      const std::string text = fmt::format("{} lines of the log were dropped: standard error took none", untold_);
+      const std::string text =
+          fmt::format("{} lines of the log were dropped: standard error took none", untold_);
       if (out({spdlog::source_loc{}, part_names[0], spdlog::level::warn, text})) untold_ = 0;
     }
     if (!out(m)) {
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,5 +1,5 @@
-// The program's log: text or JSON lines on standard error, a level for each part, repeated lines folded with their count.
-// A line never waits: what standard error does not take at once is dropped and counted.
+// The program's log: text or JSON lines on standard error, a level for each part, repeated lines folded with
+// their count. A line never waits: what standard error does not take at once is dropped and counted.
 #pragma once
 
 #include <fmt/format.h>
@@ -17,18 +17,21 @@
 enum class part { node, clients, servers, list, config, records, fleet };
 enum class level { debug, info, warning, error, off };
 constexpr std::size_t parts = 7;
-constexpr std::array<const char*, parts> part_names = {"node", "clients", "servers", "list", "config", "records", "fleet"};
+constexpr std::array<const char*, parts> part_names = {"node",   "clients", "servers", "list",
+                                                       "config", "records", "fleet"};
 
 struct Manner {
   bool json = false;
-  std::array<level, parts> least{level::info, level::info, level::info, level::info, level::info, level::info, level::info};
-  std::chrono::milliseconds fold{10'000};  // a line that was written so short a time ago is counted, not written
+  std::array<level, parts> least{level::info, level::info, level::info, level::info,
+                                 level::info, level::info, level::info};
+  std::chrono::milliseconds fold{
+      10'000};  // a line that was written so short a time ago is counted, not written
 };
 
 void open(const Manner& manner);  // may be called again; until then lines go out by the defaults
 void write(part from, level l, const std::string& line);
 bool writes(part from, level l);
-void sweep();  // tells of folded lines whose time is over; to be called every second or so
+void sweep();   // tells of folded lines whose time is over; to be called every second or so
 void finish();  // tells of all of them, at the end
 std::uint64_t dropped();
 
@@ -42,7 +45,8 @@
 }
 template <typename... Args>
 void warning(part from, fmt::format_string<Args...> text, Args&&... args) {
-  if (writes(from, level::warning)) write(from, level::warning, fmt::format(text, std::forward<Args>(args)...));
+  if (writes(from, level::warning))
+    write(from, level::warning, fmt::format(text, std::forward<Args>(args)...));
 }
 template <typename... Args>
 void error(part from, fmt::format_string<Args...> text, Args&&... args) {
--- a/src/members/members.cpp
+++ b/src/members/members.cpp
@@ -34,7 +34,9 @@
 }
 
 standing Table::standing_of(double suspicion) {
-  return suspicion >= silent_from ? standing::silent : suspicion >= doubt_from ? standing::doubtful : standing::heard;
+  return suspicion >= silent_from  ? standing::silent
+         : suspicion >= doubt_from ? standing::doubtful
+                                   : standing::heard;
 }
 
 Table::taken Table::beat(const About& about, micros now) {
--- a/src/members/members.h
+++ b/src/members/members.h
@@ -1,5 +1,6 @@
-// Who belongs to a fleet and who is heard: what nodes tell of themselves when they beat, and how sure it is that a silent one
-// is gone. Soft state: it is told the time, agrees on nothing, and is lost with its process.
+// Who belongs to a fleet and who is heard: what nodes tell of themselves when they beat, and how sure it is
+// that a silent one is gone. Soft state: it is told the time, agrees on nothing, and is lost with its
+// process.
 #pragma once
 
 #include <cstdint>
@@ -26,8 +27,9 @@
 class Beats {
  public:
   void came(micros gap);
-  // How sure it is that a node that has been silent for so long is gone: -log10 of the chance that the next beat is still to
-  // come, by the spread of its own beats. `every`: what it says, for as long as few were seen.
+  // How sure it is that a node that has been silent for so long is gone: -log10 of the chance that the next
+  // beat is still to come, by the spread of its own beats. `every`: what it says, for as long as few were
+  // seen.
   double suspicion(micros silent, micros every) const;
 
  private:
--- a/src/mesh/ambit.cpp
+++ b/src/mesh/ambit.cpp
@@ -38,8 +38,12 @@
         carry_(io_, clock_, sockets_, settings, hand_, chance_of(settings)) {
     control_.on<port::Heartbeat>([this](port::Heartbeat b) -> awaitable<port::Done> { co_return beat(b); });
     control_.on<port::Departure>([this](port::Departure d) -> awaitable<port::Done> { co_return left(d); });
-    control_.on<port::Status>([this](port::Status) -> awaitable<port::Reply> { co_return port::Reply{200, status(), {}}; });
-    readiness_.on<port::Readiness>([this](port::Readiness) -> awaitable<port::Done> { co_return port::Done{is_ready_, "not ready"}; });
+    control_.on<port::Status>([this](port::Status) -> awaitable<port::Reply> {
+      co_return port::Reply{200, status(), {}};
+    });
+    readiness_.on<port::Readiness>([this](port::Readiness) -> awaitable<port::Done> {
+      co_return port::Done{is_ready_, "not ready"};
+    });
   }
 
   trove::result<int> run() {
@@ -48,11 +52,18 @@
     readiness_.listen(node::endpoint_of(settings.ports.at("readiness")));
     node::listen_at(outbound_, node::endpoint_of(settings.ports.at("outbound")), 1024);
     node::listen_at(inbound_, node::endpoint_of(settings.ports.at("inbound")), 1024);
-    chronicle_.append(event::began, now(), fmt::format("role=ambit node={} target={}", settings.node, settings.target));
+    chronicle_.append(event::began, now(),
+                      fmt::format("role=ambit node={} target={}", settings.node, settings.target));
     control_.run();
     readiness_.run();
-    asio::co_spawn(io_, port::accept(outbound_, sockets_, caller_limits, [this](auto c) { return carry_.serve(std::move(c)); }), asio::detached);
-    asio::co_spawn(io_, port::accept(inbound_, sockets_, caller_limits, [this](auto c) { return carry_.serve_inner(std::move(c)); }), asio::detached);
+    asio::co_spawn(io_,
+                   port::accept(outbound_, sockets_, caller_limits,
+                                [this](auto c) { return carry_.serve(std::move(c)); }),
+                   asio::detached);
+    asio::co_spawn(io_,
+                   port::accept(inbound_, sockets_, caller_limits,
+                                [this](auto c) { return carry_.serve_inner(std::move(c)); }),
+                   asio::detached);
     begin();
     publish();
     io_.run();
@@ -62,15 +73,20 @@
  private:
   port::Done beat(const port::Heartbeat& b) {
     gate::Server s;
-    s.id = b.id, s.service = b.target, s.address = b.address, s.draining = b.draining, s.slots = b.capacity, s.sequence = b.sequence;
+    s.id = b.id, s.service = b.target, s.address = b.address, s.draining = b.draining, s.slots = b.capacity,
+    s.sequence = b.sequence;
     gate::Gate& door = hand_.door();
     const std::string before = door.has_server() ? door.server().id : "";
     const bool drained = door.has_server() && door.server().draining;
     if (!door.beat(now(), s, b.warmup_left)) return {};
-    if (before != b.id) chronicle_.append(event::server_up, now(), fmt::format("id={} service={} cold_ms={}", b.id, b.target, b.warmup_left / 1000));
-    if (door.server().draining && !(drained && before == b.id)) chronicle_.append(event::server_draining, now(), fmt::format("id={}", b.id));
+    if (before != b.id)
+      chronicle_.append(event::server_up, now(),
+                        fmt::format("id={} service={} cold_ms={}", b.id, b.target, b.warmup_left / 1000));
+    if (door.server().draining && !(drained && before == b.id))
+      chronicle_.append(event::server_draining, now(), fmt::format("id={}", b.id));
     publish();
-    return {};  // from here on this gate lets nothing new through to one that drains, and the word of it is out
+    return {};  // from here on this gate lets nothing new through to one that drains, and the word of it is
+                // out
   }
 
   port::Done left(const port::Departure& d) {
@@ -87,7 +103,8 @@
     const gate::Gate& door = hand_.door();
     if (door.has_server() && !silent_) {
       const gate::Server& s = door.server();
-      r.server = s.id, r.service = s.service, r.address = s.address, r.draining = s.draining, r.slots = s.slots;
+      r.server = s.id, r.service = s.service, r.address = s.address, r.draining = s.draining,
+      r.slots = s.slots;
       r.cold_ms = std::uint32_t(std::max<std::int64_t>(0, s.cold_until - now()) / 1000);
     }
     rumour::Outbox out;
@@ -110,7 +127,9 @@
       plan_ = planner_.plan_of(creed_);
       carry_.plan(plan_);
       if (log::writes(log::part::node, log::level::debug))
-        for (const auto& [name, item] : creed_.items()) log::debug(log::part::node, "item {} {:08x}{} {}", name, item.version, item.dropped ? " dropped" : "", item.text);
+        for (const auto& [name, item] : creed_.items())
+          log::debug(log::part::node, "item {} {:08x}{} {}", name, item.version,
+                     item.dropped ? " dropped" : "", item.text);
       const bool emptied = plan_->emptied.contains(settings.zone);
       if (emptied != was_emptied) {
         chronicle_.append(emptied ? event::zone_emptied : event::zone_back, now(), settings.zone);
@@ -126,7 +145,8 @@
 
   void settle_ready() {
     // Who has caught up acts on nothing older than that.
-    const bool is = knows_ || (rumour_.caught_up() && planned_ == creed_.changes() && plan_ && !plan_->hosts.empty());
+    const bool is =
+        knows_ || (rumour_.caught_up() && planned_ == creed_.changes() && plan_ && !plan_->hosts.empty());
     knows_ = is;
     carry_.ready(is);
     if ((is && !ending_) != is_ready_) {
@@ -136,16 +156,19 @@
   }
 
   void ticked(bool leapt) override {
-    // Its server went on while this process stood still, and may have turned cold: taken to be until it says so.
+    // Its server went on while this process stood still, and may have turned cold: taken to be until it says
+    // so.
     if (leapt) hand_.door().doubt_until(now() + settings.beat_period + 500'000);
     rumour::Outbox out;
     rumour_.tick(now(), out);
     send(out);
     const gate::Gate& door = hand_.door();
-    const bool silent = door.has_server() && now() - door.server().heard > beats_missed * settings.beat_period;
+    const bool silent =
+        door.has_server() && now() - door.server().heard > beats_missed * settings.beat_period;
     if (silent != silent_) {
       silent_ = silent;
-      if (silent) chronicle_.append(event::server_gone, now(), fmt::format("id={} how=silent", door.server().id));
+      if (silent)
+        chronicle_.append(event::server_gone, now(), fmt::format("id={} how=silent", door.server().id));
       publish();
     }
     changed();
@@ -168,7 +191,8 @@
     least_end_ = now() + std::min<std::int64_t>(settings.grace / 2, 3'500'000);
     last_end_ = now() + settings.grace * 9 / 10;
     carry_.end_by(clock_.now() + settings.grace * 8 / 10);
-    // Callers' lists lag, and a busy process reads late: what is sent in the second half would be given up at the end of it.
+    // Callers' lists lag, and a busy process reads late: what is sent in the second half would be given up at
+    // the end of it.
     carry_.ends(clock_.now() + settings.grace * 4 / 10);
     publish();
     settle_ready();
@@ -187,7 +211,8 @@
     put("machines", rumour_.roll().entries().size());
     put("pending", carry_.pending());
     const auto& c = carry_.counts();
-    put("taken", c.taken), put("good", c.good), put("failed", c.failed), put("refused", c.refused), put("further", c.further), put("held", c.held);
+    put("taken", c.taken), put("good", c.good), put("failed", c.failed), put("refused", c.refused),
+        put("further", c.further), put("held", c.held);
     put("own_4xx", c.own_4xx), put("probes", c.probes);
     put("datagrams", span_->sent), put("datagram_bytes", span_->sent_bytes);
     out.Key("servers"), out.StartArray();
@@ -218,7 +243,6 @@
   std::uint64_t planned_ = 0, ticks_ = 0;
   bool knows_ = false, is_ready_ = false, ending_ = false, silent_ = false;
   std::int64_t least_end_ = 0, last_end_ = 0;
-
 };
 
 }  // namespace
--- a/src/mesh/command.cpp
+++ b/src/mesh/command.cpp
@@ -53,16 +53,24 @@
         const locus::Own& own = *kept.own;
         std::size_t dropped = 0;
         for (const auto& i : kept.items) dropped += i.dropped;
-        fmt::print("store {} of {}, counter {}, {} bytes\n", own.store, span::text_of(own.machine), own.counter, look.bytes);
-        fmt::print("number {} by {}, floor {}; {} items, {} dropped\n", own.holds.number, own.holds.by.empty() ? "nobody" : own.holds.by, own.floor,
-                   kept.items.size() - dropped, dropped);
-        fmt::print("epoch {}{}\n", own.voters.version, own.voters.changing() ? ", a change of voters is under way" : "");
+        fmt::print("store {} of {}, counter {}, {} bytes\n", own.store, span::text_of(own.machine),
+                   own.counter, look.bytes);
+        fmt::print("number {} by {}, floor {}; {} items, {} dropped\n", own.holds.number,
+                   own.holds.by.empty() ? "nobody" : own.holds.by, own.floor, kept.items.size() - dropped,
+                   dropped);
+        fmt::print("epoch {}{}\n", own.voters.version,
+                   own.voters.changing() ? ", a change of voters is under way" : "");
         for (const auto* seats : {&own.voters.now, &own.voters.next})
-          for (const auto& s : *seats) fmt::print("  {} {} {}\n", seats == &own.voters.now ? "voter" : "next", machine_text(s.address), s.store);
+          for (const auto& s : *seats)
+            fmt::print("  {} {} {}\n", seats == &own.voters.now ? "voter" : "next", machine_text(s.address),
+                       s.store);
         for (const auto& [name, slot] : kept.slots)
-          fmt::print("register {}: promised {}, accepted {} in {} by {}\n", name, slot.promised.round, slot.value.version, slot.accepted.round, slot.value.by);
+          fmt::print("register {}: promised {}, accepted {} in {} by {}\n", name, slot.promised.round,
+                     slot.value.version, slot.accepted.round, slot.value.by);
         for (const auto& i : kept.items)
-          if (items) fmt::print("{} {:08x} at {}{} {}\n", i.name, i.version, i.at, i.dropped ? " dropped" : "", i.text);
+          if (items)
+            fmt::print("{} {:08x} at {}{} {}\n", i.name, i.version, i.at, i.dropped ? " dropped" : "",
+                       i.text);
         return look.damage.empty() ? good : faulty;
       },
       [](const trove::Trouble& t) {
@@ -82,8 +90,10 @@
     if (told["help"] || told.count() != 1) {
       std::ostringstream help;
       help << options;
-      fmt::print("robinpin store FOLDER: what a stopped core's disk holds; nothing in it is changed\n\n{}\nExit codes: 0 good; 1 damaged, in use or none; 2 misused.\n",
-                 help.str());
+      fmt::print(
+          "robinpin store FOLDER: what a stopped core's disk holds; nothing in it is changed\n\n{}\nExit "
+          "codes: 0 good; 1 damaged, in use or none; 2 misused.\n",
+          help.str());
       return told["help"] ? good : misused;
     }
     return boost::leaf::try_handle_all(
@@ -123,10 +133,12 @@
     const auto told = options.parse(argc - 1, argv + 1);
     if (told["help"]) {
       fmt::print("robinpin {}: {}\n\n", core ? "locus" : "ambit",
-                 core ? "the mesh's role on a core machine: keeps the control state" : "the mesh's role beside an application server");
+                 core ? "the mesh's role on a core machine: keeps the control state"
+                      : "the mesh's role beside an application server");
       std::ostringstream help;
       help << options;
-      fmt::print("{}\nExit codes: 0 good; 1 a fault in the settings, or the role can't start; 2 misused.\n", help.str());
+      fmt::print("{}\nExit codes: 0 good; 1 a fault in the settings, or the role can't start; 2 misused.\n",
+                 help.str());
       return good;
     }
     if (told.count() > 0) throw std::invalid_argument(fmt::format("\"{}\" is not known", told.pos[0]));
--- a/src/mesh/locus.cpp
+++ b/src/mesh/locus.cpp
@@ -31,25 +31,33 @@
       : Role(std::move(s), std::move(path), true),
         sockets_(std::max(32, settings.file_limit - 264)),
         trove_(std::move(trove)),
-        keep_(span::machine_of(settings.ip), creed_, rumour_, *trove_, (std::uint64_t(chance_of(settings)) << 32) | chance_of(settings), {settings.contact}),
+        keep_(span::machine_of(settings.ip), creed_, rumour_, *trove_,
+              (std::uint64_t(chance_of(settings)) << 32) | chance_of(settings), {settings.contact}),
         control_(io_, sockets_, call_limits, {.wait = 30s, .for_who_waits = true}),
         wakes_(io_),
         aside_(std::move(aside)) {
     using What = locus::Order::what;
     control_.on<port::Adjust>([this](port::Adjust c) { return order({What::adjust, std::move(c.body)}); });
     control_.on<port::Read>([this](port::Read) { return order({What::read, {}}); });
-    control_.on<port::Evacuation<true>>([this](port::Evacuation<true> c) { return for_zone(What::begin, std::move(c.zone)); });
-    control_.on<port::Evacuation<false>>([this](port::Evacuation<false> c) { return for_zone(What::finish, std::move(c.zone)); });
+    control_.on<port::Evacuation<true>>(
+        [this](port::Evacuation<true> c) { return for_zone(What::begin, std::move(c.zone)); });
+    control_.on<port::Evacuation<false>>(
+        [this](port::Evacuation<false> c) { return for_zone(What::finish, std::move(c.zone)); });
     control_.on<port::CoreSize>([this](port::CoreSize c) { return order({What::size, std::move(c.count)}); });
-    control_.on<port::Status>([this](port::Status) -> awaitable<port::Reply> { co_return port::Reply{200, status(), {}}; });
-    control_.on<port::Readiness>([this](port::Readiness) -> awaitable<port::Done> { co_return port::Done{keep_.fresh(now()), "not in contact with a majority of the core"}; });
+    control_.on<port::Status>([this](port::Status) -> awaitable<port::Reply> {
+      co_return port::Reply{200, status(), {}};
+    });
+    control_.on<port::Readiness>([this](port::Readiness) -> awaitable<port::Done> {
+      co_return port::Done{keep_.fresh(now()), "not in contact with a majority of the core"};
+    });
   }
 
   trove::result<int> run() {
     BOOST_LEAF_CHECK(open());
     BOOST_LEAF_CHECK(keep_.begin(now(), settings.first_start, machines_of(settings.seeds)));
     control_.listen(node::endpoint_of(settings.ports.at("control")));
-    chronicle_.append(event::began, now(), fmt::format("role=locus node={} items={}", settings.node, creed_.items().size()));
+    chronicle_.append(event::began, now(),
+                      fmt::format("role=locus node={} items={}", settings.node, creed_.items().size()));
     if (!aside_.empty()) chronicle_.append(event::disk_set_aside, now(), aside_);
     chronicle_.append(event::copy_lacks, now());
     control_.run();
@@ -63,8 +71,8 @@
   }
 
  private:
-  // A name that nobody knows may be mistyped: it is told so. One that the state has is known, too, whatever the settings say
-  // by now: what stands can be taken back, and what was taken is acknowledged again.
+  // A name that nobody knows may be mistyped: it is told so. One that the state has is known, too, whatever
+  // the settings say by now: what stands can be taken back, and what was taken is acknowledged again.
   awaitable<port::Reply> for_zone(locus::Order::what is, std::string zone) {
     if (!settings.may_be_zone(zone) && !creed_.find(std::string(creed::evacuation_mark) + zone))
       co_return port::Reply{404, R"({"fault":"the settings know no such zone"})", {}};
@@ -96,14 +104,21 @@
     }
     changed();
     const int status = wait->outcome->status;
-    if (status == 503) chronicle_.append(event::order_unsettled, now(), wait->outcome->body);
-    else if (status >= 400) chronicle_.append(event::change_refused, now(), wait->outcome->body);
-    else if (is == locus::Order::what::adjust) chronicle_.append(event::change_taken, now());
-    else if (is == locus::Order::what::begin) chronicle_.append(event::zone_emptied, now());
-    else if (is == locus::Order::what::finish) chronicle_.append(event::zone_back, now());
-    // What was read, or refused, by then says nothing of now where this process stood still since. That a change was taken stays true.
+    if (status == 503)
+      chronicle_.append(event::order_unsettled, now(), wait->outcome->body);
+    else if (status >= 400)
+      chronicle_.append(event::change_refused, now(), wait->outcome->body);
+    else if (is == locus::Order::what::adjust)
+      chronicle_.append(event::change_taken, now());
+    else if (is == locus::Order::what::begin)
+      chronicle_.append(event::zone_emptied, now());
+    else if (is == locus::Order::what::finish)
+      chronicle_.append(event::zone_back, now());
+    // What was read, or refused, by then says nothing of now where this process stood still since. That a
+    // change was taken stays true.
     const bool ages = status != 200 || is == locus::Order::what::read;
-    co_return port::Reply{status, std::move(wait->outcome->body), {}, ages ? begun + locus::Keep::patience + late : 0};
+    co_return port::Reply{
+        status, std::move(wait->outcome->body), {}, ages ? begun + locus::Keep::patience + late : 0};
   }
 
   void heard(rumour::Machine from, std::string_view datagram) override {
@@ -126,11 +141,13 @@
     after();
   }
 
-  // A disk that has failed once is believed no more: the process ends, and whoever starts it anew reads what lasts.
+  // A disk that has failed once is believed no more: the process ends, and whoever starts it anew reads what
+  // lasts.
   void after() {
     if (keep_.failed() && !failed_) {
       failed_ = true;
-      chronicle_.append(event::disk_failed, now(), keep_.failed()->step + " " + keep_.failed()->peer + ": " + keep_.failed()->why);
+      chronicle_.append(event::disk_failed, now(),
+                        keep_.failed()->step + " " + keep_.failed()->peer + ": " + keep_.failed()->why);
       io_.stop();
     }
     if (const bool is = keep_.fresh(now()); is != was_fresh_) {
@@ -140,8 +157,10 @@
     if (keep_.voters().version != epoch_) {
       epoch_ = keep_.voters().version;
       std::string who;
-      for (const auto& s : keep_.voters().all()) who += fmt::format(" {}", span::text_of(rumour::Machine(std::stoul(s.address))));
-      chronicle_.append(event::voters, now(), fmt::format("epoch={} changing={} who={}", epoch_, keep_.voters().changing(), who));
+      for (const auto& s : keep_.voters().all())
+        who += fmt::format(" {}", span::text_of(rumour::Machine(std::stoul(s.address))));
+      chronicle_.append(event::voters, now(),
+                        fmt::format("epoch={} changing={} who={}", epoch_, keep_.voters().changing(), who));
     }
     if (leaving_ && keep_.may_go()) io_.stop();
     arm();
@@ -240,8 +259,9 @@
   bool was_fresh_ = false, failed_ = false, leaving_ = false;
 };
 
-// A store that can't be read for what it was is set aside: its machine is one with a lost disk, which the others know how to
-// take in. What was never told from a good one is found by the voters' counters (locus/keep).
+// A store that can't be read for what it was is set aside: its machine is one with a lost disk, which the
+// others know how to take in. What was never told from a good one is found by the voters' counters
+// (locus/keep).
 trove::result<std::unique_ptr<trove::Trove>> opened(const std::string& folder, std::string& aside) {
   const auto usable = [&]() -> trove::result<std::unique_ptr<trove::Trove>> {
     BOOST_LEAF_AUTO(trove, trove::open(folder));
@@ -249,15 +269,17 @@
     BOOST_LEAF_CHECK(locus::kept(held));
     return trove;
   };
-  return boost::leaf::try_handle_some(usable, [&](const trove::Trouble& t) -> trove::result<std::unique_ptr<trove::Trove>> {
-    std::error_code wrong;
-    if (t.step != "damage") return boost::leaf::new_error(t);  // in use, or no room: it may be right again
-    aside = t.step + " " + t.peer + ": " + t.why;
-    std::filesystem::remove_all(folder + ".aside", wrong);  // one is kept, for whoever looks into it
-    std::filesystem::rename(folder, folder + ".aside", wrong);
-    if (wrong) return boost::leaf::new_error(t);
-    return trove::open(folder);
-  });
+  return boost::leaf::try_handle_some(
+      usable, [&](const trove::Trouble& t) -> trove::result<std::unique_ptr<trove::Trove>> {
+        std::error_code wrong;
+        if (t.step != "damage")
+          return boost::leaf::new_error(t);  // in use, or no room: it may be right again
+        aside = t.step + " " + t.peer + ": " + t.why;
+        std::filesystem::remove_all(folder + ".aside", wrong);  // one is kept, for whoever looks into it
+        std::filesystem::rename(folder, folder + ".aside", wrong);
+        if (wrong) return boost::leaf::new_error(t);
+        return trove::open(folder);
+      });
 }
 
 }  // namespace
--- a/src/mesh/lookout.cpp
+++ b/src/mesh/lookout.cpp
@@ -14,7 +14,8 @@
   return {s.st_dev, s.st_ino, s.st_size, s.st_mtim.tv_sec, s.st_mtim.tv_nsec};
 }
 
-trove::result<std::optional<ground::Settings>> Lookout::look(std::int64_t now, bool signalled, const ground::Settings& old) {
+trove::result<std::optional<ground::Settings>> Lookout::look(std::int64_t now, bool signalled,
+                                                             const ground::Settings& old) {
   using Found = std::optional<ground::Settings>;
   if (!signalled && now < next_) return Found();
   next_ = now + every;
@@ -23,13 +24,13 @@
   if (!signalled && !again && stamp_ == seen) return Found();
   stamp_ = seen;
   trove::Trouble trouble;
-  Found next = boost::leaf::try_handle_all(
-      [&]() -> trove::result<Found> { return ground::load(path_, core_); },
-      [&](const trove::Trouble& t) {
-        trouble = t;
-        return Found();
-      },
-      [] { return Found(); });
+  Found next =
+      boost::leaf::try_handle_all([&]() -> trove::result<Found> { return ground::load(path_, core_); },
+                                  [&](const trove::Trouble& t) {
+                                    trouble = t;
+                                    return Found();
+                                  },
+                                  [] { return Found(); });
   if (next)
     for (const auto& pointer : ground::needs_start(old, *next)) {
       trouble.step = "take on", trouble.peer = path_;
--- a/src/mesh/lookout.h
+++ b/src/mesh/lookout.h
@@ -1,5 +1,5 @@
-// Looks out for a settings file that has changed, by a signal or without, and reads it whole or not at all. Told the time;
-// what a file says of its own times is only held against what it said before.
+// Looks out for a settings file that has changed, by a signal or without, and reads it whole or not at all.
+// Told the time; what a file says of its own times is only held against what it said before.
 #pragma once
 
 #include <cstdint>
@@ -18,10 +18,12 @@
   // `path`: of the file that the process began with.
   Lookout(std::string path, bool core) : path_(std::move(path)), core_(core) {}
 
-  // What is to be taken on in place of `old`; nothing where there is no news, and always something at a signal. May be
-  // called often: the file is looked at only each `every`, or at once where `signalled`. Errors: all faults of the file, or
-  // all of it that needs a new start, a line each with its pointer; without a signal not the same ones again.
-  trove::result<std::optional<ground::Settings>> look(std::int64_t now, bool signalled, const ground::Settings& old);
+  // What is to be taken on in place of `old`; nothing where there is no news, and always something at a
+  // signal. May be called often: the file is looked at only each `every`, or at once where `signalled`.
+  // Errors: all faults of the file, or all of it that needs a new start, a line each with its pointer;
+  // without a signal not the same ones again.
+  trove::result<std::optional<ground::Settings>> look(std::int64_t now, bool signalled,
+                                                      const ground::Settings& old);
 
  private:
   using Stamp = std::tuple<std::uint64_t, std::uint64_t, std::int64_t, std::int64_t, std::int64_t>;
--- a/src/mesh/role.cpp
+++ b/src/mesh/role.cpp
@@ -14,19 +14,24 @@
 constexpr auto tick_every = 100ms;
 constexpr std::int64_t learn_pause = 20'000;  // microseconds between two plans at the least
 constexpr std::int64_t learn_part = 9;        // times as long as the last plan took
-constexpr std::int64_t leap = 1'000'000;  // microseconds beyond its time that a tick may come before it tells of a stop
+constexpr std::int64_t leap =
+    1'000'000;  // microseconds beyond its time that a tick may come before it tells of a stop
 
 log::level level_of(chronicle::event e) {
   using chronicle::event;
   return e == event::disk_failed || e == event::settings_faulty ? log::level::error
-         : e == event::leapt || e == event::order_unsettled || e == event::copy_lacks || e == event::disk_set_aside ? log::level::warning
-                                                                                      : log::level::info;
+         : e == event::leapt || e == event::order_unsettled || e == event::copy_lacks ||
+                 e == event::disk_set_aside
+             ? log::level::warning
+             : log::level::info;
 }
 
-// Of the wall clock, so that a later life of a machine's process is higher; where the clock was set back, the first word
-// from others lifts it.
+// Of the wall clock, so that a later life of a machine's process is higher; where the clock was set back, the
+// first word from others lifts it.
 std::uint64_t life() {
-  return std::uint64_t(std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::system_clock::now().time_since_epoch()).count());
+  return std::uint64_t(std::chrono::duration_cast<std::chrono::milliseconds>(
+                           std::chrono::system_clock::now().time_since_epoch())
+                           .count());
 }
 }  // namespace
 
@@ -36,15 +41,19 @@
   return found;
 }
 
-std::uint32_t chance_of(const ground::Settings& s) { return std::uint32_t(creed::hashed(s.ip, std::random_device{}())); }
+std::uint32_t chance_of(const ground::Settings& s) {
+  return std::uint32_t(creed::hashed(s.ip, std::random_device{}()));
+}
 
 Role::Role(ground::Settings told, std::string path, bool core)
     : held_(std::move(told)),
       chronicle_([](const chronicle::Event& e) {
         const auto l = level_of(e.number);
-        if (log::writes(log::part::node, l)) log::write(log::part::node, l, fmt::format("E{} {}", int(e.number), e.text));
+        if (log::writes(log::part::node, l))
+          log::write(log::part::node, l, fmt::format("E{} {}", int(e.number), e.text));
       }),
-      rumour_({span::machine_of(settings.ip), settings.zone, core}, life(), machines_of(settings.seeds), creed_, chance_of(settings)),
+      rumour_({span::machine_of(settings.ip), settings.zone, core}, life(), machines_of(settings.seeds),
+              creed_, chance_of(settings)),
       begun_(now()),
       lookout_(ground::path_told(path), core),
       timer_(io_),
@@ -54,7 +63,9 @@
 }
 
 std::int64_t Role::now() const {
-  return std::chrono::duration_cast<std::chrono::microseconds>(std::chrono::steady_clock::now().time_since_epoch()).count();
+  return std::chrono::duration_cast<std::chrono::microseconds>(
+             std::chrono::steady_clock::now().time_since_epoch())
+      .count();
 }
 
 trove::result<void> Role::open() {
@@ -72,8 +83,11 @@
 void Role::send(const rumour::Outbox& out) {
   const rumour::Machine self = span::machine_of(settings.ip);
   for (const auto& d : out)
-    if (d.to == self) asio::post(io_, [this, self, bytes = d.bytes] { heard(self, bytes); });  // once the others' are on their way
-    else span_->send(d.to, d.bytes);
+    if (d.to == self)
+      asio::post(io_,
+                 [this, self, bytes = d.bytes] { heard(self, bytes); });  // once the others' are on their way
+    else
+      span_->send(d.to, d.bytes);
 }
 
 void Role::leave(int code) {
@@ -118,7 +132,8 @@
     ticked(leapt);
     if (creed_.changes() != items_told_) {
       items_told_ = creed_.changes();
-      chronicle_.append(chronicle::event::items_taken, at, fmt::format("items={} changes={}", creed_.items().size(), items_told_));
+      chronicle_.append(chronicle::event::items_taken, at,
+                        fmt::format("items={} changes={}", creed_.items().size(), items_told_));
     }
     tick();
   });
@@ -131,7 +146,9 @@
         if (!next) return {};
         const bool news = *next != held_;
         held_ = std::move(*next);
-        chronicle_.append(chronicle::event::settings, now(), fmt::format("how={} changed={} seeds={}", signalled ? "signal" : "seen", news, held_.seeds.size()));
+        chronicle_.append(chronicle::event::settings, now(),
+                          fmt::format("how={} changed={} seeds={}", signalled ? "signal" : "seen", news,
+                                      held_.seeds.size()));
         if (!news) return {};
         rumour::Outbox out;
         rumour_.seeds(now(), machines_of(held_.seeds), out);
@@ -139,7 +156,8 @@
         switched();
         return {};
       },
-      [&](const trove::Trouble& t) { chronicle_.append(chronicle::event::settings_faulty, now(), t.why); }, [] {});
+      [&](const trove::Trouble& t) { chronicle_.append(chronicle::event::settings_faulty, now(), t.why); },
+      [] {});
 }
 
 void Role::signals() {
--- a/src/mesh/role.h
+++ b/src/mesh/role.h
@@ -36,8 +36,8 @@
   const ground::Settings& settings = held_;  // what parts hold on to: as last taken on
 
  protected:
-  trove::result<void> open();       // the span
-  void begin();                     // ticks and signals
+  trove::result<void> open();  // the span
+  void begin();                // ticks and signals
   void send(const rumour::Outbox& out);
   std::int64_t now() const;
   virtual void heard(rumour::Machine from, std::string_view datagram) = 0;
@@ -49,8 +49,8 @@
   virtual void switched() = 0;
   // Ends the process without unwinding: coroutines at rest hold on to parts that would go before them.
   [[noreturn]] void leave(int code);
-  // Calls learnt() where the state or the roll has changed: at once, but where changes come by the hundred so seldom that it
-  // takes a part of the processor only.
+  // Calls learnt() where the state or the roll has changed: at once, but where changes come by the hundred so
+  // seldom that it takes a part of the processor only.
   void changed();
 
   asio::io_context io_;
--- a/src/model/agenda.h
+++ b/src/model/agenda.h
@@ -1,5 +1,5 @@
-// What is due when. The model is told the time and never asks for it: whoever drives it, by a clock or by leaps, calls
-// advance(). What is due together happens in the order in which it was entered.
+// What is due when. The model is told the time and never asks for it: whoever drives it, by a clock or by
+// leaps, calls advance(). What is due together happens in the order in which it was entered.
 #pragma once
 
 #include <algorithm>
--- a/src/model/box.cpp
+++ b/src/model/box.cpp
@@ -16,7 +16,8 @@
 bool Marks::known(const std::string& mark, micros now, micros window) {
   while (!order_.empty() && order_.front().first <= now) {
     // A mark that was seen again later stands in the order twice.
-    if (const auto s = seen_.find(order_.front().second); s != seen_.end() && s->second <= now) seen_.erase(s);
+    if (const auto s = seen_.find(order_.front().second); s != seen_.end() && s->second <= now)
+      seen_.erase(s);
     order_.pop_front();
   }
   const auto s = seen_.find(mark);
@@ -90,7 +91,8 @@
   const std::uint64_t number = ++number_;
   if (!up_) return number;  // nobody is there to answer
   double work = job.work;
-  if (const auto d = dear_.find(job.scheme); d != dear_.end() && chance_.hits(d->second.first)) work *= d->second.second;
+  if (const auto d = dear_.find(job.scheme); d != dear_.end() && chance_.hits(d->second.first))
+    work *= d->second.second;
   watch_cold(work, from);
   if (fell || hangs_) {
     // It takes what comes and says nothing.
@@ -293,12 +295,14 @@
   tick();
 }
 
-// A cold box that is sent far more than it can do falls over and stays down. Work counts, also that turned away.
+// A cold box that is sent far more than it can do falls over and stays down. Work counts, also that turned
+// away.
 void Box::watch_cold(double work, const std::string& from) {
   const micros now = agenda_.now();
   if (warmth() >= 1 || fell) return;
   pressure_.emplace_back(now, work, from);
-  while (!pressure_.empty() && now - std::get<0>(pressure_.front()) > make_.fall_window) pressure_.pop_front();
+  while (!pressure_.empty() && now - std::get<0>(pressure_.front()) > make_.fall_window)
+    pressure_.pop_front();
   double sum = 0, largest = 0;
   for (const auto& [at, w, who] : pressure_) {
     sum += w;
@@ -333,13 +337,16 @@
         calm_since_ = -1;
       else if (calm_since_ < 0)
         calm_since_ = now;
-      if ((calm_since_ >= 0 && now - calm_since_ >= make_.choke_rest) || now - choked_at_ >= make_.choke_most) {
+      if ((calm_since_ >= 0 && now - calm_since_ >= make_.choke_rest) ||
+          now - choked_at_ >= make_.choke_most) {
         choked_ = false;
         crowd_ = 0;
       }
     }
     if (now / make_.report_every != (now - look) / make_.report_every) {
-      const auto noisy = [&](double v) { return std::max(0.0, v * (1 + make_.report_noise * (2 * chance_.part() - 1))); };
+      const auto noisy = [&](double v) {
+        return std::max(0.0, v * (1 + make_.report_noise * (2 * chance_.part() - 1)));
+      };
       Load l;
       l.waiting = int(std::lround(noisy(double(queue_.size()))));
       l.in_work = int(std::lround(noisy(double(held_.size() - queue_.size()))));
--- a/src/model/box.h
+++ b/src/model/box.h
@@ -1,5 +1,6 @@
-// A booking box: cores shared by what runs, slots, a queue, calls to the next tier, warming from cold, tipping over when
-// crowded, memory of marks, and what may go wrong with it. Free of I/O and clocks; driven by an Agenda.
+// A booking box: cores shared by what runs, slots, a queue, calls to the next tier, warming from cold,
+// tipping over when crowded, memory of marks, and what may go wrong with it. Free of I/O and clocks; driven
+// by an Agenda.
 #pragma once
 
 #include <cstdint>
@@ -25,7 +26,7 @@
   double speed = 1;  // of each core
   int slots = 16;    // in work at once, those that wait for the next tier too
   int queue = 64;
-  double thrash = 0.2;   // slower by this for each time that more are held than thrash_at a core
+  double thrash = 0.2;  // slower by this for each time that more are held than thrash_at a core
   double thrash_at = 4;
   double cold_from = 0.3;  // share of its capacity at the start
   micros cold_for = 10'000'000;
@@ -34,8 +35,9 @@
   int connections = 1500;
   micros handshake = 1000;  // work of a new connection
   double error_rate = 0;
-  // Tipping over: more than cores + choke_at x root(cores) held in the mean of choke_over turns it choke_slower
-  // times slower, until its cores were busy under choke_below for choke_rest, or choke_most is up.
+  // Tipping over: more than cores + choke_at x root(cores) held in the mean of choke_over turns it
+  // choke_slower times slower, until its cores were busy under choke_below for choke_rest, or choke_most is
+  // up.
   double choke_at = 6, choke_slower = 2.5, choke_below = 0.35;
   micros choke_over = 2'000'000, choke_rest = 3'000'000, choke_most = 25'000'000;
   // Falling over: a cold one that is sent more than fall_multiple x capacity x fall_window in such a window.
@@ -62,11 +64,11 @@
 struct Job {
   std::string id;
   int scheme = 0;
-  double work = 0;       // its own part, before and after its calls
-  int calls = 0;         // to the next tier, one after the other
-  std::string mark;      // of a referenced txn
-  micros window = 0;     // how long the mark is known
-  micros expiry = 0;     // when its caller gives up
+  double work = 0;    // its own part, before and after its calls
+  int calls = 0;      // to the next tier, one after the other
+  std::string mark;   // of a referenced txn
+  micros window = 0;  // how long the mark is known
+  micros expiry = 0;  // when its caller gives up
   // What becomes of it. `call` asks for the n-th call, to be answered by called().
   std::function<void(done)> ended;
   std::function<void(int)> call;
@@ -95,11 +97,15 @@
   Load load() const;  // as last reported
 
   // What may go wrong, and its end.
-  void stop();          // the process dies: what it held is gone, nothing is told
+  void stop();  // the process dies: what it held is gone, nothing is told
   void start(bool cold);
   void drain(bool draining) { draining_ = draining; }
-  void slow(double times) { touch([&] { slow_ = times; }); }
-  void take_away(double share) { touch([&] { taken_ = share; }); }  // by another program
+  void slow(double times) {
+    touch([&] { slow_ = times; });
+  }
+  void take_away(double share) {
+    touch([&] { taken_ = share; });
+  }  // by another program
   void hang(bool hangs) {
     touch([&] {
       hangs_ = hangs;
@@ -113,8 +119,8 @@
 
   bool up() const { return up_; }
   bool choked() const { return choked_; }
-  double warmth() const;          // share of its capacity, by age
-  double capacity() const;        // yardstick cores at work now
+  double warmth() const;    // share of its capacity, by age
+  double capacity() const;  // yardstick cores at work now
   micros started() const { return started_; }
   // Counted since it was made.
   int tipped = 0;
@@ -125,10 +131,10 @@
  private:
   struct Held {
     Job job;
-    double left = 0;       // of its own work, while it does not run on a core
+    double left = 0;               // of its own work, while it does not run on a core
     double finish = 0, piece = 0;  // in attained work, while it does; and how much of it this run is
-    double after = 0;      // its work after the calls
-    double spent = 0;      // on cores so far
+    double after = 0;              // its work after the calls
+    double spent = 0;              // on cores so far
     int call = 0;
     micros came = 0;
     bool running = false, gone = false, begun = false;
--- a/src/model/list.cpp
+++ b/src/model/list.cpp
@@ -18,7 +18,8 @@
 
 void List::show(const Entry& entry) {
   // Notices overtake each other when the list falls behind: an older start says nothing of a newer one.
-  if (const auto e = entries_.find(entry.uid); e != entries_.end() && e->second.started > entry.started) return;
+  if (const auto e = entries_.find(entry.uid); e != entries_.end() && e->second.started > entry.started)
+    return;
   if (const auto g = gone_.find(entry.uid); g != gone_.end() && g->second.started > entry.started) return;
   ++version_;
   if (entry.is == state::gone) {
--- a/src/model/list.h
+++ b/src/model/list.h
@@ -1,5 +1,5 @@
-// The list of servers as its service knows it: late, sometimes further behind, of fixed capacity, now and then broken.
-// Free of I/O and clocks; driven by an Agenda.
+// The list of servers as its service knows it: late, sometimes further behind, of fixed capacity, now and
+// then broken. Free of I/O and clocks; driven by an Agenda.
 #pragma once
 
 #include <deque>
@@ -22,7 +22,7 @@
   micros started = 0;  // 0: long ago
 };
 
-struct Ways {  // of the list
+struct Ways {                        // of the list
   micros notice = 2'000'000;         // until a process that ended or drains shows
   micros silent_notice = 8'000'000;  // until a machine that went silent shows
   micros add = 1'000'000;            // until one that started shows
--- a/src/model/load.cpp
+++ b/src/model/load.cpp
@@ -16,7 +16,8 @@
   return shares.size() - 1;
 }
 
-double rate_at(const Mix& m, const std::vector<Jump>& jumps, micros t, micros length, const std::vector<double>& bursts) {
+double rate_at(const Mix& m, const std::vector<Jump>& jumps, micros t, micros length,
+               const std::vector<double>& bursts) {
   double rate = m.rate;
   const double part = double(t) / double(std::max<micros>(1, length));
   constexpr double pi = 3.14159265358979;
@@ -73,8 +74,8 @@
   return m.marks ? std::min(wait, s.expiry - since) : wait;
 }
 
-micros again(const Manners& m, const SchemeOf& s, int n, heard how, micros come_back, micros asked, micros now,
-             Chance& chance) {
+micros again(const Manners& m, const SchemeOf& s, int n, heard how, micros come_back, micros asked,
+             micros now, Chance& chance) {
   if (how == heard::settled || n >= m.retries) return -1;
   const bool harmless = how == heard::declined || how == heard::unreachable;
   if (s.kind == repeats::once_only && !harmless) return -1;
--- a/src/model/load.h
+++ b/src/model/load.h
@@ -1,5 +1,5 @@
-// What clients ask and how they behave: a mix of txns drawn ahead, so that no answer's time moves the next asking, and
-// patience, retries and advice. Free of I/O and clocks.
+// What clients ask and how they behave: a mix of txns drawn ahead, so that no answer's time moves the next
+// asking, and patience, retries and advice. Free of I/O and clocks.
 #pragma once
 
 #include <string>
@@ -34,9 +34,10 @@
   double swing = 0.2;  // how far the rate goes from its mean, as a share
   micros turn = 10'000'000;
   std::vector<SchemeOf> schemes;
-  std::vector<TenantOf> tenants;     // none: txns name no tenant
-  std::vector<double> halls;         // share of each
-  std::vector<std::pair<double, double>> calls;  // of each tier after the first: how often a txn of the tier above calls it
+  std::vector<TenantOf> tenants;  // none: txns name no tenant
+  std::vector<double> halls;      // share of each
+  std::vector<std::pair<double, double>>
+      calls;  // of each tier after the first: how often a txn of the tier above calls it
 };
 
 struct Jump {  // of the traffic
@@ -63,15 +64,16 @@
   bool doubling = true;
   double heeds = 0.85;  // share of the advice to come back later that is followed
   micros longest_advice = 1'200'000;
-  bool marks = false;  // repeats are marked as such, and all tries of a txn together wait no longer than its expiry
+  bool marks =
+      false;  // repeats are marked as such, and all tries of a txn together wait no longer than its expiry
 };
 
 enum class heard { settled, declined, failed, unreachable, nothing };  // unreachable: the node took nothing
 
-// Whether a client tries again after its n-th try (from 0), and when; below zero: no more. `asked`: when the first
-// try went out. A once-only txn is tried again only after a decline or where no node took it.
-micros again(const Manners& m, const SchemeOf& s, int n, heard how, micros come_back, micros asked, micros now,
-             Chance& chance);
+// Whether a client tries again after its n-th try (from 0), and when; below zero: no more. `asked`: when the
+// first try went out. A once-only txn is tried again only after a decline or where no node took it.
+micros again(const Manners& m, const SchemeOf& s, int n, heard how, micros come_back, micros asked,
+             micros now, Chance& chance);
 // How long the n-th try waits for its answer, so long after the first went out.
 micros patience(const Manners& m, const SchemeOf& s, int n, micros since = 0);
 
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -169,7 +169,8 @@
       });
     }
     const reading r = co_await more(error);
-    if (nudge && nudge->fired && open() && in.open_ended() && (!error || error == asio::error::operation_aborted)) {
+    if (nudge && nudge->fired && open() && in.open_ended() &&
+        (!error || error == asio::error::operation_aborted)) {
       error = {};
       co_return reading::longer;
     }
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -73,16 +73,18 @@
   // Writes all of it; `written` tells how much went out.
   awaitable<asio::error_code> write(std::string_view head, std::string_view body, std::size_t& written);
   static constexpr std::size_t all = ~std::size_t(0);
-  // Reads until a message is whole, or known to be `longer` than what is kept of a body, or the connection ends
-  // (`error`). Who waits for the word to go on is given it. `bytes_a_second`: the limit that was set moves on as the
-  // body comes at that pace. `patience`: a body without a told length is taken for longer after so much time.
+  // Reads until a message is whole, or known to be `longer` than what is kept of a body, or the connection
+  // ends
+  // (`error`). Who waits for the word to go on is given it. `bytes_a_second`: the limit that was set moves on
+  // as the body comes at that pace. `patience`: a body without a told length is taken for longer after so
+  // much time.
   awaitable<reading> read(asio::error_code& error, std::size_t kept = all, std::size_t bytes_a_second = 0,
                           steady::duration patience = {});
   // Reads once, what comes next of a message that has begun.
   awaitable<reading> more(asio::error_code& error);
 
-  // Tells the peer that no more comes, and drops what it still sends until it ends or the time is over: a connection closed
-  // over unread bytes is reset, and what was written last goes with it.
+  // Tells the peer that no more comes, and drops what it still sends until it ends or the time is over: a
+  // connection closed over unread bytes is reset, and what was written last goes with it.
   awaitable<void> see_out(steady::duration most);
 
   // When the last bytes that were read reached the machine, where the kernel tells; else when they were read.
--- a/src/net/listening.cpp
+++ b/src/net/listening.cpp
@@ -21,14 +21,17 @@
   while (acceptor.bind(at, taken), taken == asio::error::address_in_use && steady::now() < until)
     std::this_thread::sleep_for(20ms);
   if (taken)
-    throw std::runtime_error(fmt::format("listen: {}:{}: {}", at.address().to_string(), at.port(), taken.message()));
+    throw std::runtime_error(
+        fmt::format("listen: {}:{}: {}", at.address().to_string(), at.port(), taken.message()));
   stamp_arrivals(acceptor.native_handle());
   acceptor.listen(backlog);
   acceptor.non_blocking(true);
 }
 
 void listen_on(tcp::acceptor& acceptor, int descriptor) {
-  const auto no = [&] { throw std::runtime_error(fmt::format("EDGE_FD: {} is no listening TCP socket", descriptor)); };
+  const auto no = [&] {
+    throw std::runtime_error(fmt::format("EDGE_FD: {} is no listening TCP socket", descriptor));
+  };
   int listens = 0;
   socklen_t size = sizeof listens;
   if (::getsockopt(descriptor, SOL_SOCKET, SO_ACCEPTCONN, &listens, &size) != 0 || !listens) no();
--- a/src/net/listening.h
+++ b/src/net/listening.h
@@ -7,8 +7,8 @@
 
 // Throws std::runtime_error if it can't. Who had this address may just be ending: it is waited for a while.
 void listen_at(tcp::acceptor& acceptor, tcp::endpoint at, int backlog);
-// Throws std::runtime_error if that descriptor is no listening TCP socket. It is shared with other processes: only
-// ever closed, never shut down.
+// Throws std::runtime_error if that descriptor is no listening TCP socket. It is shared with other processes:
+// only ever closed, never shut down.
 void listen_on(tcp::acceptor& acceptor, int descriptor);
 
 }  // namespace robinpin::node
--- a/src/node/agreement.cpp
+++ b/src/node/agreement.cpp
@@ -12,7 +12,8 @@
 }
 
 struct Agreement::Run {
-  Run(asio::io_context& io, Proposal p, steady::time_point by) : proposal(std::move(p)), until(by), ended(io, by) {}
+  Run(asio::io_context& io, Proposal p, steady::time_point by)
+      : proposal(std::move(p)), until(by), ended(io, by) {}
   Proposal proposal;
   steady::time_point until;
   asio::steady_timer ended;
@@ -48,7 +49,8 @@
 awaitable<Outcome> Agreement::once(Want want, bool again, Voters under, steady::time_point until) {
   Outcome none;
   if (under.version == 0) co_return none;  // no voters are known yet
-  const auto run = std::make_shared<Run>(io_, Proposal(std::move(under), {++round_, me_}, std::move(want), again), until);
+  const auto run =
+      std::make_shared<Run>(io_, Proposal(std::move(under), {++round_, me_}, std::move(want), again), until);
   send(run, run->proposal.begin());
   asio::error_code ignored;
   if (!run->end) co_await run->ended.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
@@ -68,11 +70,13 @@
     Outcome o = co_await once(want, again, voters_, std::min(until, steady::now() + 2 * ask_limit));
     round_ = std::max(round_, o.round);
     if (o.newer) know(*o.newer);
-    if (o.how == fate::chosen || o.how == fate::refused || o.how == fate::overtaken || o.how == fate::full) co_return o;
+    if (o.how == fate::chosen || o.how == fate::refused || o.how == fate::overtaken || o.how == fate::full)
+      co_return o;
     outbid += o.how == fate::outbid ? 1 : 0;
     again = again || o.how == fate::unknown;
     const auto wait = std::chrono::microseconds(
-        wait_before(o.newer ? 1 : n, std::uniform_real_distribution<>(0, 1)(draw_)) + (o.how == fate::unreachable ? 20'000 : 0));
+        wait_before(o.newer ? 1 : n, std::uniform_real_distribution<>(0, 1)(draw_)) +
+        (o.how == fate::unreachable ? 20'000 : 0));
     if (steady::now() + wait >= until) {
       if (again && want.what == wish::write) {
         o.how = fate::unknown;
@@ -90,7 +94,8 @@
   asio::steady_timer pause(io_);
   for (int n = 1; const auto job = s.next(); ++n) {
     if (steady::now() >= until) co_return false;
-    const Outcome o = co_await once(job->want, n > 1, job->under, std::min(until, steady::now() + 2 * ask_limit));
+    const Outcome o =
+        co_await once(job->want, n > 1, job->under, std::min(until, steady::now() + 2 * ask_limit));
     round_ = std::max(round_, o.round);
     s.ended(o);
     know(s.voters());
@@ -102,7 +107,8 @@
       n = 0;
       continue;
     }
-    pause.expires_after(std::chrono::microseconds(wait_before(n, std::uniform_real_distribution<>(0, 1)(draw_)) + 5'000));
+    pause.expires_after(
+        std::chrono::microseconds(wait_before(n, std::uniform_real_distribution<>(0, 1)(draw_)) + 5'000));
     co_await pause.async_wait(asio::use_awaitable);
   }
   co_return s.done();
--- a/src/node/boot.h
+++ b/src/node/boot.h
@@ -12,7 +12,8 @@
 
 namespace robinpin::node {
 
-// The paths of a file's keys; of a list's entries those that all of them have. Without what changes at each start.
+// The paths of a file's keys; of a list's entries those that all of them have. Without what changes at each
+// start.
 using Keys = std::set<std::string>;
 Keys keys_of(const std::string& text);
 
@@ -47,8 +48,8 @@
 // Reads the file that EDGE_CONFIG names, or the other one where it is not set.
 Boot boot(const environment& variable, const std::string& otherwise = "");
 // Reads it again while the node runs. What the environment said of discovery was said at the start: now the
-// file's address holds. Every key that `first` had (keys_of the file at start) must be there again: a file that lost
-// one is not what its writer meant.
+// file's address holds. Every key that `first` had (keys_of the file at start) must be there again: a file
+// that lost one is not what its writer meant.
 Boot boot_again(const environment& variable, const std::string& otherwise = "", const Keys& first = {});
 
 }  // namespace robinpin::node
--- a/src/node/clients.cpp
+++ b/src/node/clients.cpp
@@ -13,18 +13,19 @@
 namespace {
 
 using namespace std::chrono_literals;
-// A head must be whole so soon after its first byte, and a first one so soon after its client has connected, whatever
-// trickles in; a body comes at no less than that pace.
+// A head must be whole so soon after its first byte, and a first one so soon after its client has connected,
+// whatever trickles in; a body comes at no less than that pace.
 constexpr std::size_t slow_pace = 32 * 1024;
 constexpr Limits client_limits = {16 * 1024, 48 * 1024 * 1024};
 constexpr int send_buffer = 128 * 1024;  // a longer one would hide for long that a client takes nothing
-constexpr steady::duration message_limit = 2500ms, first_limit = 2800ms, idle_limit = 60s, crowded_idle_limit = 3s,
-                           write_limit = 5s;
+constexpr steady::duration message_limit = 2500ms, first_limit = 2800ms, idle_limit = 60s,
+                           crowded_idle_limit = 3s, write_limit = 5s;
 constexpr steady::duration slow_sender = 300ms, fresh = 250ms, newcomer = 50ms, linger = 20ms;
 constexpr auto last_words = 500ms;
 // What a client sent on a connection that it held when its node was told to end is there after so long.
 constexpr auto crossing = 500ms;
-// After SIGTERM a node has the longest expiry, of this at the most, and then a little more for its last answers.
+// After SIGTERM a node has the longest expiry, of this at the most, and then a little more for its last
+// answers.
 constexpr micros longest_notice = 3'000'000, last_answers = 600'000;
 constexpr micros longest_wait = 3'600'000'000;
 
@@ -163,8 +164,9 @@
     if (!error) {
       ++counters_.clients_accepted;
       socket.set_option(tcp::no_delay(true), error);
-      asio::co_spawn(io_, serve(std::make_shared<Connection>(std::move(socket), sockets_, HTTP_REQUEST, client_limits)),
-                     asio::detached);
+      asio::co_spawn(
+          io_, serve(std::make_shared<Connection>(std::move(socket), sockets_, HTTP_REQUEST, client_limits)),
+          asio::detached);
     } else if (acceptor_.is_open() && error != asio::error::operation_aborted) {
       // Out of descriptors, or a connection that went before it was taken.
       ++counters_.accepts_failed;
@@ -175,9 +177,9 @@
   }
 }
 
-// Who has been turned away goes first, then who has connected and says nothing, then those between txns, but not
-// one so fresh that its client may be sending just now; then those that are still sending, for what has not come
-// whole is not taken. Else a crowd that is silent or slow could keep all others out.
+// Who has been turned away goes first, then who has connected and says nothing, then those between txns, but
+// not one so fresh that its client may be sending just now; then those that are still sending, for what has
+// not come whole is not taken. Else a crowd that is silent or slow could keep all others out.
 bool Clients::evict() {
   return evict(doing::leaving, linger) || evict(doing::arriving, newcomer) || evict(doing::nothing, fresh) ||
          evict(doing::reading, slow_sender);
@@ -192,8 +194,8 @@
   const auto now = steady::now();
   const bool said_nothing = what == doing::arriving || what == doing::nothing;
   for (const Seat& s : seats_)
-    if (const auto c = s.connection.lock(); s.what == what && c && c->open() && now - s.since > old &&
-                                            (!said_nothing || c->quiet())) {
+    if (const auto c = s.connection.lock();
+        s.what == what && c && c->open() && now - s.since > old && (!said_nothing || c->quiet())) {
       ++counters_.clients_evicted;
       c->close();
       return true;
@@ -214,7 +216,8 @@
 awaitable<void> Clients::drain() {
   draining_ = true;
   asio::error_code ignored;
-  // Another process takes who comes now: what was accepted is answered here, each answer the last of its connection.
+  // Another process takes who comes now: what was accepted is answered here, each answer the last of its
+  // connection.
   if (inherited_) {
     closing_ = true;
     acceptor_.close(ignored);
@@ -269,7 +272,8 @@
   asio::error_code error;
   if (got == reading::unfinished && !c->in.begun()) {
     if (s->what != doing::arriving) now_doing(s, doing::nothing);
-    // A kept connection is a way in when no new one is dealt to any node; but many are for those that ask again.
+    // A kept connection is a way in when no new one is dealt to any node; but many are for those that ask
+    // again.
     const bool many = int(seats_.size()) > sockets_.most() / 4;
     c->limit(std::min(until, steady::now() + (many ? crowded_idle_limit : idle_limit)));
     co_await c->socket.async_wait(tcp::socket::wait_read, asio::redirect_error(asio::use_awaitable, error));
@@ -296,8 +300,7 @@
   }
   const std::string_view target = c->in.target();
   if (c->in.connects()) co_return co_await turn_down(c, s, 405, "no tunnels");
-  if (target.starts_with("/health/") || target == "/config")
-    co_return co_await own_page(c, s);
+  if (target.starts_with("/health/") || target == "/config") co_return co_await own_page(c, s);
   co_return co_await txn(c, s);
 }
 
@@ -306,8 +309,10 @@
   co_return co_await answer_last(c, s, status, "Content-Type: text/plain\r\n", fmt::format("{}\n", why));
 }
 
-// Where the client may still be sending: to close on that would reset the connection before it has read the answer.
-awaitable<bool> Clients::answer_last(connection c, seat s, int status, std::string_view headers, std::string_view body) {
+// Where the client may still be sending: to close on that would reset the connection before it has read the
+// answer.
+awaitable<bool> Clients::answer_last(connection c, seat s, int status, std::string_view headers,
+                                     std::string_view body) {
   co_await answer(c, status, headers, body, false);
   asio::error_code error;
   c->socket.shutdown(tcp::socket::shutdown_send, error);
@@ -336,7 +341,8 @@
   Asked asked = asked_of(c->in, house_);
   if (asked.status != 0) co_return co_await turn_down(c, s, asked.status, asked.why);
   if (desk_.knows(asked.id)) co_return co_await turn_down(c, s, 409, "Request-Id is in use");
-  limits::Taken route = routes_.take({asked.scheme, asked.tenant, c->in.method(), c->in.target()}, clock_.now());
+  limits::Taken route =
+      routes_.take({asked.scheme, asked.tenant, c->in.method(), c->in.target()}, clock_.now());
   const bool longer = !c->in.whole();
   if (longer) {
     asked.outbound->source = c;
@@ -392,9 +398,9 @@
   }
 }
 
-// The rest of a long answer, as it comes and as the client takes it: each piece is read when the one before it is
-// written. The txn has its answer, so neither ends it late; only a side that does nothing for long ends the transfer,
-// and then the client can tell that it is not whole.
+// The rest of a long answer, as it comes and as the client takes it: each piece is read when the one before
+// it is written. The txn has its answer, so neither ends it late; only a side that does nothing for long ends
+// the transfer, and then the client can tell that it is not whole.
 awaitable<bool> Clients::relay(connection c, Call& call, int scheme) {
   const auto from = call.connection;
   const auto told = from->in.told();
@@ -409,7 +415,8 @@
                   : framed ? "Transfer-Encoding: chunked\r\n"
                            : "",
                   stay ? "" : "Connection: close\r\n");
-  // However it ends, it counts once, and what is not whole can be told: an exception's 500 would go into the body.
+  // However it ends, it counts once, and what is not whole can be told: an exception's 500 would go into the
+  // body.
   struct Transfer {
     Counters& counters;
     connection c, from;
@@ -432,7 +439,8 @@
     if (framed && whole) after += "0\r\n\r\n";
     c->limit(steady::now() + stall_limit);
     std::size_t written = 0;
-    taken = !co_await c->write(before, body, written) && (after.empty() || !co_await c->write(after, {}, written));
+    taken = !co_await c->write(before, body, written) &&
+            (after.empty() || !co_await c->write(after, {}, written));
     before.clear();
     if (whole || !taken) break;
     from->in.pass_on();
@@ -448,7 +456,7 @@
   if (c->open()) c->socket.cancel(error);
   transfer.through = whole && taken;
   if (transfer.through) servers_.done(call);
-  co_return transfer.through && stay;
+  co_return transfer.through&& stay;
 }
 
 // Whatever happens to it, a posting ends in one report to the desk.
--- a/src/node/clients.h
+++ b/src/node/clients.h
@@ -40,7 +40,8 @@
   awaitable<void> accept();  // until drained
   bool takes() const { return taking_ && !draining_; }
   std::size_t pending() const {  // txns taken and not ended
-    return std::size_t(std::count_if(seats_.begin(), seats_.end(), [](const Seat& s) { return s.what == doing::txn; }));
+    return std::size_t(
+        std::count_if(seats_.begin(), seats_.end(), [](const Seat& s) { return s.what == doing::txn; }));
   }
   // From now on not ready; goes on serving for as long as the longest expiry, answers all, then returns.
   awaitable<void> drain();
@@ -69,7 +70,8 @@
                           std::shared_ptr<const Outbound> outbound);
   awaitable<bool> answer(connection c, int status, std::string_view headers, std::string_view body,
                          bool may_stay = true);
-  awaitable<bool> answer_last(connection c, seat s, int status, std::string_view headers, std::string_view body);
+  awaitable<bool> answer_last(connection c, seat s, int status, std::string_view headers,
+                              std::string_view body);
   awaitable<bool> relay(connection c, Call& call, int scheme);
   void watch(const connection& c, std::function<void()> gone);
 
--- a/src/node/control.cpp
+++ b/src/node/control.cpp
@@ -46,20 +46,23 @@
 
 std::string Control::answer_to(reading got, const Message& call) const {
   const auto page = [](const char* status, const char* type, const std::string& body) {
-    return fmt::format("HTTP/1.1 {}\r\nContent-Type: {}\r\nContent-Length: {}\r\nConnection: close\r\n\r\n{}", status,
-                       type, body.size(), body);
+    return fmt::format("HTTP/1.1 {}\r\nContent-Type: {}\r\nContent-Length: {}\r\nConnection: close\r\n\r\n{}",
+                       status, type, body.size(), body);
   };
   constexpr auto plain = "text/plain";
-  if (got == reading::head_too_long) return page("431 Request Header Fields Too Large", plain, "the headers are too long\n");
+  if (got == reading::head_too_long)
+    return page("431 Request Header Fields Too Large", plain, "the headers are too long\n");
   if (got == reading::body_too_long) return page("413 Content Too Large", plain, "a call has no body\n");
-  if (got != reading::complete || !call.clean() || call.connects()) return page("400 Bad Request", plain, "not HTTP/1.1\n");
+  if (got != reading::complete || !call.clean() || call.connects())
+    return page("400 Bad Request", plain, "not HTTP/1.1\n");
   const std::string_view path = call.target().substr(0, call.target().find('?'));
   const bool fleet = path == "/fleet" && pages_.fleet;
   if (path != "/ready" && path != "/metrics" && !fleet) return page("404 Not Found", plain, "no such page\n");
   if (call.method() != "GET") return page("405 Method Not Allowed", plain, "only GET\n");
   if (fleet) return page("200 OK", "application/json", pages_.fleet());
   if (path == "/metrics") return page("200 OK", "text/plain; version=0.0.4; charset=utf-8", pages_.metrics());
-  return pages_.ready() ? page("200 OK", plain, "ready\n") : page("503 Service Unavailable", plain, "not ready\n");
+  return pages_.ready() ? page("200 OK", plain, "ready\n")
+                        : page("503 Service Unavailable", plain, "not ready\n");
 }
 
 // One call, its answer, and the end.
@@ -80,7 +83,8 @@
       c->limit(steady::now() + last_words);
       std::array<char, 1024> rest{};
       while (!error)
-        co_await c->socket.async_read_some(asio::buffer(rest), asio::redirect_error(asio::use_awaitable, error));
+        co_await c->socket.async_read_some(asio::buffer(rest),
+                                           asio::redirect_error(asio::use_awaitable, error));
     }
   } catch (const std::exception& failure) {
     log::error(log::part::node, "control: {}", failure.what());
--- a/src/node/control.h
+++ b/src/node/control.h
@@ -1,5 +1,5 @@
-// Where the operators call: whether this process takes clients, and its figures. Its callers have descriptors of their
-// own, so that no crowd of clients keeps them out.
+// Where the operators call: whether this process takes clients, and its figures. Its callers have descriptors
+// of their own, so that no crowd of clients keeps them out.
 #pragma once
 
 #include <functional>
--- a/src/node/counters.cpp
+++ b/src/node/counters.cpp
@@ -10,7 +10,9 @@
 std::string Counters::text() const {
   std::string out;
   const Ended sum = all();
-  const auto put = [&](std::string_view name, count n) { fmt::format_to(std::back_inserter(out), "{} {}\n", name, n); };
+  const auto put = [&](std::string_view name, count n) {
+    fmt::format_to(std::back_inserter(out), "{} {}\n", name, n);
+  };
   put("txns_settled", sum.settled);
   put("txns_declined", sum.declined);
   put("txns_reversed", sum.reversed);
@@ -33,7 +35,8 @@
   put("health_calls", health_calls);
   for (std::size_t i = 0; i < ending_names.size(); ++i)
     put(fmt::format("postings_{}", ending_names[i]), postings[i]);
-  for (std::size_t i = 0; i < cause_names.size(); ++i) put(fmt::format("given_up_{}", cause_names[i]), given_up[i]);
+  for (std::size_t i = 0; i < cause_names.size(); ++i)
+    put(fmt::format("given_up_{}", cause_names[i]), given_up[i]);
   put("dials", dials);
   put("dials_failed", dials_failed);
   put("connections_reused", reuses);
--- a/src/node/counters.h
+++ b/src/node/counters.h
@@ -35,7 +35,7 @@
       sum.settled += e.settled, sum.declined += e.declined, sum.reversed += e.reversed;
     return sum;
   }
-  count postings_written = 0;             // whole, to servers
+  count postings_written = 0;            // whole, to servers
   count reloads = 0, reload_errors = 0;  // files taken and turned down at SIGHUP
   count clients_accepted = 0, clients_evicted = 0, accepts_failed = 0;
   count txns_taken = 0, clients_left = 0, answers_broken = 0;
@@ -43,8 +43,10 @@
   std::array<count, 8> postings{};  // by ending
   std::array<count, 7> given_up{};  // by cause
   count dials = 0, dials_failed = 0, reuses = 0, idle_closed = 0, idle_evicted = 0, no_room = 0;
-  count list_calls = 0, list_failures = 0, list_news = 0, list_doubts = 0, list_older = 0, list_empty = 0, list_paced = 0;
-  count limited_in_flight = 0, limited_by_rate = 0, config_accepted = 0, config_refused = 0, records_dropped = 0;
+  count list_calls = 0, list_failures = 0, list_news = 0, list_doubts = 0, list_older = 0, list_empty = 0,
+        list_paced = 0;
+  count limited_in_flight = 0, limited_by_rate = 0, config_accepted = 0, config_refused = 0,
+        records_dropped = 0;
   count terms_switched = 0, terms_refused = 0;
   count exceptions = 0;
 
--- a/src/node/desk.cpp
+++ b/src/node/desk.cpp
@@ -9,7 +9,7 @@
 constexpr auto forever = steady::time_point::max();
 
 const char* word(ending how) { return ending_names[std::size_t(how)]; }
-}
+}  // namespace
 
 Desk::Desk(asio::io_context& io, const Clock& clock, Counters& counters, Terms terms, std::uint32_t seed,
            records::Facts* facts)
@@ -183,9 +183,10 @@
     const bool ours = order.next == Order::what::declined || order.next == Order::what::reversed;
     if (ours) ++counters_.given_up[std::size_t(order.why)];
     if (order.next != Order::what::gone)
-      facts_.answered(id, order.next == Order::what::settled    ? "settled"
-                          : order.next == Order::what::declined ? "declined"
-                                                                : "reversed",
+      facts_.answered(id,
+                      order.next == Order::what::settled    ? "settled"
+                      : order.next == Order::what::declined ? "declined"
+                                                            : "reversed",
                       order.come_back, ours ? cause_names[std::size_t(order.why)] : "");
     if (v->out_ == 0) visits_.erase(it);
   }
--- a/src/node/desk.h
+++ b/src/node/desk.h
@@ -22,10 +22,10 @@
 struct Order {
   enum class what { post, withdraw, settled, declined, reversed, gone };
   what next = what::gone;
-  int posting = 0;       // post, withdraw, settled
-  std::string server;    // post
-  micros wait = 0;       // post: for its answer; 0: until the txn's expiry
-  micros come_back = 0;  // declined: how long the client should stay away; 0: not told
+  int posting = 0;          // post, withdraw, settled
+  std::string server;       // post
+  micros wait = 0;          // post: for its answer; 0: until the txn's expiry
+  micros come_back = 0;     // declined: how long the client should stay away; 0: not told
   cause why = cause::late;  // declined, reversed
 };
 
@@ -47,7 +47,7 @@
     std::deque<Order> orders_;
     int sent_ = 0, out_ = 0;
     limits::Place place_;  // on its route, until its last posting has ended
-    bool over_ = false;  // it has its final answer, or nobody waits for it
+    bool over_ = false;    // it has its final answer, or nobody waits for it
   };
   using visit = std::shared_ptr<Visit>;
 
@@ -66,8 +66,8 @@
   // Of a long body more has come: until it is whole the txn's time stands still.
   void still_coming(const visit& v, bool whole);
   void no_further(const visit& v);  // postings: a part of its body is gone
-  void end_by(micros at);      // no txn may wait longer: the node ends
-  awaitable<void> tick();      // runs as long as the node
+  void end_by(micros at);           // no txn may wait longer: the node ends
+  awaitable<void> tick();           // runs as long as the node
 
   std::size_t members() const;  // servers in the list
   std::size_t avoided() const;  // of them, by the module now
@@ -94,8 +94,8 @@
   Balancer balancer_;
   std::unordered_map<std::string, visit> visits_;  // by txn, while it is not over or postings are out
   asio::steady_timer wake_, list_;
-  micros due_ = 0;    // of the next look; 0: none
-  micros ends_ = 0;   // when the node does; 0: not told
+  micros due_ = 0;   // of the next look; 0: none
+  micros ends_ = 0;  // when the node does; 0: not told
   bool list_wanted_ = false;
   std::function<void(const std::string&)> probe_;
 };
--- a/src/node/figures.cpp
+++ b/src/node/figures.cpp
@@ -21,7 +21,8 @@
 
 }  // namespace
 
-std::string figures(const Counters& counters, const std::vector<std::string>& schemes, const Standing& standing) {
+std::string figures(const Counters& counters, const std::vector<std::string>& schemes,
+                    const Standing& standing) {
   std::string out;
   const auto head = [&](std::string_view name, std::string_view type, std::string_view help) {
     fmt::format_to(std::back_inserter(out), "# HELP svc_{} {}\n# TYPE svc_{} {}\n", name, help, name, type);
--- a/src/node/figures.h
+++ b/src/node/figures.h
@@ -14,6 +14,7 @@
 };
 
 // A row of `schemes` for each row of the counters' by_scheme.
-std::string figures(const Counters& counters, const std::vector<std::string>& schemes, const Standing& standing);
+std::string figures(const Counters& counters, const std::vector<std::string>& schemes,
+                    const Standing& standing);
 
 }  // namespace robinpin::node
--- a/src/node/fleet.cpp
+++ b/src/node/fleet.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-constexpr auto order_limit = 4s;     // of an operator's call, as long as a caller is waited for
-constexpr auto beat_limit = 1s;      // for a beat's answer, at the most
+constexpr auto order_limit = 4s;  // of an operator's call, as long as a caller is waited for
+constexpr auto beat_limit = 1s;   // for a beat's answer, at the most
 constexpr std::size_t most_callers = 64;
 constexpr std::size_t longest_text = 64 * 1024;  // bytes of a register, as told to operators
 
@@ -33,17 +33,21 @@
   return micros(t.tv_sec) * 1'000'000 + t.tv_nsec / 1000;
 }
 
-Fleet::Fleet(asio::io_context& io, Sockets& sockets, const config::Fleet& said, Identity me, records::Facts& facts)
+Fleet::Fleet(asio::io_context& io, Sockets& sockets, const config::Fleet& said, Identity me,
+             records::Facts& facts)
     : io_(io),
       said_(said),
       me_(std::move(me)),
       incarnation_(drawn()),
       facts_(facts),
       sockets_(sockets),
-      store_(said.store.said() ? std::make_unique<store::Store>(said.store.value, said.name.value, me_.name) : nullptr),
+      store_(said.store.said() ? std::make_unique<store::Store>(said.store.value, said.name.value, me_.name)
+                               : nullptr),
       draw_(std::random_device{}()),
       agreement_(io, me_.name + "/" + incarnation_, draw_(),
-                 [this](Seat seat, Ask ask, steady::time_point until) { return to_voter(std::move(seat), std::move(ask), until); }),
+                 [this](Seat seat, Ask ask, steady::time_point until) {
+                   return to_voter(std::move(seat), std::move(ask), until);
+                 }),
       listener_(io, sockets_, said.name.value, [this](peer::Call c) { return take(std::move(c)); }) {
   sockets_.evict_by([this] { return listener_.evict(); });
   sockets_.evict_by([this] {
@@ -64,10 +68,10 @@
 void Fleet::listen() {
   listener_.listen(endpoint_of(said_.listen.value));
   log::info(log::part::fleet, "{}: of fleet {}, at {}, {}", me_.name, said_.name.value, said_.listen.value,
-            !store_                                  ? "without a vote"
-            : voter_->memory().voters.version == 0   ? "its store belongs to no fleet yet"
-            : voter_->standing() == verdict::yes     ? "votes"
-                                                     : "asks the other voters before it votes again");
+            !store_                                ? "without a vote"
+            : voter_->memory().voters.version == 0 ? "its store belongs to no fleet yet"
+            : voter_->standing() == verdict::yes   ? "votes"
+                                                   : "asks the other voters before it votes again");
 }
 
 // ---- voting
@@ -99,7 +103,8 @@
   if (std::exchange(store_failed_, true)) return;
   voter_->fail();
   const std::string what = store_->failure();
-  log::error(log::part::fleet, "{}: its store failed, it votes no more until it is started anew: {}", me_.name, what);
+  log::error(log::part::fleet, "{}: its store failed, it votes no more until it is started anew: {}",
+             me_.name, what);
   facts_.agreed("store_failed", what, 0);
 }
 
@@ -109,7 +114,8 @@
   ++asks_;
   Heard h = voter_->ask(ask);
   if (h.change && h.change->voters) know(*h.change->voters);
-  if (h.reply.how == verdict::not_me || h.reply.how == verdict::older || h.reply.how == verdict::returning) co_return h.reply;
+  if (h.reply.how == verdict::not_me || h.reply.how == verdict::older || h.reply.how == verdict::returning)
+    co_return h.reply;
   if (!co_await lasts(std::move(h.change))) co_return std::nullopt;
   co_return h.reply;
 }
@@ -142,7 +148,8 @@
   if (const auto it = callers_.find(address); it != callers_.end()) return it->second;
   if (callers_.size() >= most_callers) return nullptr;
   try {
-    const auto made = std::make_shared<peer::Caller>(io_, sockets_, peer::Who{said_.name.value, me_.name, incarnation_}, endpoint_of(address));
+    const auto made = std::make_shared<peer::Caller>(
+        io_, sockets_, peer::Who{said_.name.value, me_.name, incarnation_}, endpoint_of(address));
     return callers_[address] = made;
   } catch (const read::malformed&) {
     return nullptr;
@@ -181,8 +188,8 @@
   return a;
 }
 
-// One coroutine a voter: a silent one costs the others nothing. Phases and waits are drawn, so that hundreds that return at
-// once do not come at once.
+// One coroutine a voter: a silent one costs the others nothing. Phases and waits are drawn, so that hundreds
+// that return at once do not come at once.
 awaitable<void> Fleet::beat() {
   asio::steady_timer timer(io_);
   for (;;) {
@@ -190,7 +197,8 @@
     const auto wanted = voter_addresses();
     for (const auto& address : wanted)
       if (beating_.try_emplace(address).second)
-        asio::co_spawn(io_, beat_to(address), [this, address](std::exception_ptr) { beating_.erase(address); });
+        asio::co_spawn(io_, beat_to(address),
+                       [this, address](std::exception_ptr) { beating_.erase(address); });
     std::erase_if(callers_, [&](const auto& c) {
       return !beating_.contains(c.first) && std::find(wanted.begin(), wanted.end(), c.first) == wanted.end();
     });
@@ -201,7 +209,9 @@
 
 awaitable<void> Fleet::beat_to(std::string address) {
   asio::steady_timer timer(io_);
-  const auto drawn_part = [this](double from, double to) { return std::uniform_real_distribution<>(from, to)(draw_); };
+  const auto drawn_part = [this](double from, double to) {
+    return std::uniform_real_distribution<>(from, to)(draw_);
+  };
   double wait = drawn_part(0, 1);
   for (int missed = 0;;) {
     timer.expires_after(std::chrono::microseconds(micros(wait * double(said_.beat.value))));
@@ -211,7 +221,8 @@
     const auto to = caller(address);
     if (!to) co_return;
     ++beats_;
-    const auto limit = std::min<steady::duration>(beat_limit, std::chrono::microseconds(std::max<micros>(200'000, 2 * said_.beat.value)));
+    const auto limit = std::min<steady::duration>(
+        beat_limit, std::chrono::microseconds(std::max<micros>(200'000, 2 * said_.beat.value)));
     const peer::Answer a = co_await to->call("/fleet/beat", peer::text_of(about()), steady::now() + limit);
     std::string cause = a.how == peer::came::answered ? "" : peer::word(a.how);
     if (a.how == peer::came::answered) try {
@@ -227,7 +238,9 @@
             voter_->witnessed(read::text(d, "store", ""), peer::count(d, "saw"));
             if (was != voter_->standing()) {
               const bool older = voter_->standing() == verdict::older;
-              older ? log::error(log::part::fleet, "{}: its store is an older copy of what it was: {} saw change {} of it; it does not vote",
+              older ? log::error(log::part::fleet,
+                                 "{}: its store is an older copy of what it was: {} saw change {} of it; it "
+                                 "does not vote",
                                  me_.name, address, peer::count(d, "saw"))
                     : log::info(log::part::fleet, "{}: votes again", me_.name);
               facts_.agreed(older ? "older_store" : "votes", address, std::int64_t(peer::count(d, "saw")));
@@ -243,11 +256,14 @@
     log::Trouble& t = trouble_[address];
     if (cause.empty()) {
       missed = 0;
-      if (t.mended()) log::info(log::part::fleet, "{}: voter at {} is heard again after {} beats", me_.name, address, t.times());
+      if (t.mended())
+        log::info(log::part::fleet, "{}: voter at {} is heard again after {} beats", me_.name, address,
+                  t.times());
     } else {
       ++beats_failed_;
       ++missed;
-      if (t.fails(cause)) log::warning(log::part::fleet, "{}: voter at {} is not heard: {}", me_.name, address, cause);
+      if (t.fails(cause))
+        log::warning(log::part::fleet, "{}: voter at {} is not heard: {}", me_.name, address, cause);
     }
     wait = missed == 0 ? drawn_part(0.9, 1.1) : drawn_part(0.5, 1.5) * std::min(4, missed);
   }
@@ -255,13 +271,15 @@
 
 awaitable<Fleet::Told> Fleet::taken_beat(const peer::Call& call) {
   const members::About a = peer::about_of(call.body);
-  if (a.name != call.from || a.incarnation != call.incarnation) co_return why(400, "the beat is another node's than the call");
+  if (a.name != call.from || a.incarnation != call.incarnation)
+    co_return why(400, "the beat is another node's than the call");
   ++beats_taken_;
   switch (members_.beat(a, span_clock())) {
     case members::Table::taken::full:
       co_return why(503, fmt::format("{} members are the most", members::most_members));
     case members::Table::taken::twice:
-      log::error(log::part::fleet, "{}: two processes beat as {}: a paused one that came back, or a copy", me_.name, a.name);
+      log::error(log::part::fleet, "{}: two processes beat as {}: a paused one that came back, or a copy",
+                 me_.name, a.name);
       facts_.agreed("twice", a.name, 0);
       break;
     case members::Table::taken::fresh:
@@ -333,7 +351,8 @@
 awaitable<Fleet::Told> Fleet::order(const peer::Call& call) {
   const auto d = peer::parsed(call.body);
   const std::string what = read::text(d, "do", "");
-  const auto within = std::chrono::milliseconds(std::clamp<std::int64_t>(std::int64_t(peer::count(d, "within_ms")), 0, 4'000));
+  const auto within = std::chrono::milliseconds(
+      std::clamp<std::int64_t>(std::int64_t(peer::count(d, "within_ms")), 0, 4'000));
   const auto until = steady::now() + (within > 0ms ? within : order_limit);
   if (what == "get") co_return co_await get(d, until);
   if (what == "set") co_return co_await set(d, until);
@@ -348,16 +367,19 @@
 peer::Told ended(const Outcome& o) {
   Out out;
   out.put("how", word(o.how));
-  if (o.how == fate::chosen || o.how == fate::refused) out.put("version", o.value.version).put("text", o.value.text).put("by", o.value.by);
+  if (o.how == fate::chosen || o.how == fate::refused)
+    out.put("version", o.value.version).put("text", o.value.text).put("by", o.value.by);
   return {200, out.end()};
 }
 
-// Named before it is awaited: this compiler ends a braced temporary in a co_await twice (GCC's bug 98401 and its kin).
+// Named before it is awaited: this compiler ends a braced temporary in a co_await twice (GCC's bug 98401 and
+// its kin).
 Want reading(std::string name) { return {wish::read, std::move(name), 0, "", ""}; }
 
 std::string register_of(const read::value& o, bool writes) {
   const std::string name = read::text(read::need(o, "name"), "name");
-  if (name.empty() || name.size() > longest_name) read::wrong(fmt::format("name is not from 1 to {} bytes", longest_name));
+  if (name.empty() || name.size() > longest_name)
+    read::wrong(fmt::format("name is not from 1 to {} bytes", longest_name));
   if (writes && name == voters_register) read::wrong("the voters are changed by add, remove and replace");
   return name;
 }
@@ -370,8 +392,10 @@
 }
 
 awaitable<Fleet::Told> Fleet::set(const value& o, steady::time_point until) {
-  Want w{wish::write, register_of(o, true), peer::count(o, "version"), read::text(o, "text", ""), read::text(o, "by", "")};
-  if (w.text.size() > longest_text) co_return why(400, fmt::format("the value is over {} bytes", longest_text));
+  Want w{wish::write, register_of(o, true), peer::count(o, "version"), read::text(o, "text", ""),
+         read::text(o, "by", "")};
+  if (w.text.size() > longest_text)
+    co_return why(400, fmt::format("the value is over {} bytes", longest_text));
   const bool again = !w.by.empty() && read::flag(o, "again");
   if (w.by.empty()) w.by = agreement_.fresh_mark();
   const Outcome end = co_await agreement_.settle(w, until, again);
@@ -381,10 +405,20 @@
 
 void Fleet::put(Out& out, const std::vector<members::Seen>& all) {
   out.list("members", all, [](Out& m, const members::Seen& s) {
-    m.put("name", s.about.name).put("incarnation", s.about.incarnation).put("hall", s.about.hall).put("tier", s.about.tier)
-        .put("version", s.about.version).put("config", s.about.config).put("address", s.about.address).put("store", s.about.store)
-        .put("is", members::word(s.is)).put("suspicion", std::min(300.0, s.suspicion)).put("since_us", std::int64_t(s.since))
-        .put("last_us", std::int64_t(s.last)).put("starts", s.starts).put("twice", s.twice);
+    m.put("name", s.about.name)
+        .put("incarnation", s.about.incarnation)
+        .put("hall", s.about.hall)
+        .put("tier", s.about.tier)
+        .put("version", s.about.version)
+        .put("config", s.about.config)
+        .put("address", s.about.address)
+        .put("store", s.about.store)
+        .put("is", members::word(s.is))
+        .put("suspicion", std::min(300.0, s.suspicion))
+        .put("since_us", std::int64_t(s.since))
+        .put("last_us", std::int64_t(s.last))
+        .put("starts", s.starts)
+        .put("twice", s.twice);
   });
 }
 
@@ -399,7 +433,8 @@
   for (const auto& address : voter_addresses()) {
     const auto to = caller(address);
     if (!to) continue;
-    const auto a = co_await to->call("/fleet/order", R"({"do":"status","within_ms":500})", std::min(until, steady::now() + 700ms));
+    const auto a = co_await to->call("/fleet/order", R"({"do":"status","within_ms":500})",
+                                     std::min(until, steady::now() + 700ms));
     if (a.how != peer::came::answered || a.status != 200) continue;
     const auto d = peer::parsed(a.body);
     std::vector<members::Seen> all;
@@ -414,7 +449,9 @@
       s.about.store = read::text(m, "store", "");
       s.about.tier = int(read::number(m, "tier", 0));
       const std::string is = read::text(m, "is", "");
-      s.is = is == "heard" ? members::standing::heard : is == "doubtful" ? members::standing::doubtful : members::standing::silent;
+      s.is = is == "heard"      ? members::standing::heard
+             : is == "doubtful" ? members::standing::doubtful
+                                : members::standing::silent;
       s.suspicion = read::number(m, "suspicion", 0);
       s.since = std::int64_t(read::number(m, "since_us", 0));
       s.last = std::int64_t(read::number(m, "last_us", 0));
@@ -439,16 +476,23 @@
   out.put("majority", o.how == fate::chosen).put("voters_version", v.version).put("changing", v.changing());
   if (voter_)
     out.put("vote", store_failed_ ? "store failed"
-                    : voter_->standing() == verdict::yes ? (v.seat(voter_->memory().store) ? "votes" : "no seat")
-                    : voter_->standing() == verdict::older ? "older copy" : "returning")
-        .put("store", voter_->memory().store).put("counter", lasting_).put("registers", std::uint64_t(voter_->memory().slots.size()));
+                    : voter_->standing() == verdict::yes
+                        ? (v.seat(voter_->memory().store) ? "votes" : "no seat")
+                    : voter_->standing() == verdict::older ? "older copy"
+                                                           : "returning")
+        .put("store", voter_->memory().store)
+        .put("counter", lasting_)
+        .put("registers", std::uint64_t(voter_->memory().slots.size()));
   const auto seats = v.all();
   out.list("voters", seats, [&](Out& s, const Seat& seat) {
-    const auto among = [&](const auto& set) { return std::any_of(set.begin(), set.end(), [&](const Seat& x) { return x.store == seat.store; }); };
+    const auto among = [&](const auto& set) {
+      return std::any_of(set.begin(), set.end(), [&](const Seat& x) { return x.store == seat.store; });
+    };
     std::string is = "not heard";
     if (heard)
       for (const auto& m : *heard)
-        if (m.about.name == seat.voter) is = m.about.store == seat.store ? members::word(m.is) : "another store";
+        if (m.about.name == seat.voter)
+          is = m.about.store == seat.store ? members::word(m.is) : "another store";
     s.put("voter", seat.voter).put("store", seat.store).put("address", seat.address).put("is", is);
     if (v.changing()) s.put("change", !among(v.next) ? "leaves" : !among(v.now) ? "comes" : "stays");
   });
@@ -459,7 +503,9 @@
 
 // The first voters of a fleet: each of those that the file names has to be there and to agree.
 awaitable<Fleet::Told> Fleet::init(steady::time_point until) {
-  if (agreement_.voters().version > 0) co_return why(400, fmt::format("the fleet is founded: its voters have version {}", agreement_.voters().version));
+  if (agreement_.voters().version > 0)
+    co_return why(
+        400, fmt::format("the fleet is founded: its voters have version {}", agreement_.voters().version));
   Voters v;
   v.version = 1;
   for (const auto& m : said_.members) {
@@ -471,12 +517,18 @@
     }
     const auto to = caller(m.address.value);
     const peer::Answer a = co_await to->call("/fleet/hello", "{}", std::min(until, steady::now() + 1s));
-    if (a.how != peer::came::answered) co_return why(503, fmt::format("{} at {} is {}: nothing was done", m.name.value, m.address.value, peer::word(a.how)));
+    if (a.how != peer::came::answered)
+      co_return why(503, fmt::format("{} at {} is {}: nothing was done", m.name.value, m.address.value,
+                                     peer::word(a.how)));
     const auto d = peer::parsed(a.body);
     if (a.status != 200) co_return why(400, fmt::format("{}: {}", m.name.value, read::text(d, "why", "")));
-    if (read::text(d, "name", "") != m.name.value) co_return why(400, fmt::format("at {} is {}, not {}", m.address.value, read::text(d, "name", ""), m.name.value));
-    if (read::text(d, "store", "").empty()) co_return why(400, fmt::format("{} is to vote and has no store", m.name.value));
-    if (peer::voters_of(d).version > 1) co_return why(400, fmt::format("{} belongs to a fleet already", m.name.value));
+    if (read::text(d, "name", "") != m.name.value)
+      co_return why(
+          400, fmt::format("at {} is {}, not {}", m.address.value, read::text(d, "name", ""), m.name.value));
+    if (read::text(d, "store", "").empty())
+      co_return why(400, fmt::format("{} is to vote and has no store", m.name.value));
+    if (peer::voters_of(d).version > 1)
+      co_return why(400, fmt::format("{} belongs to a fleet already", m.name.value));
     v.now.push_back({m.name.value, read::text(d, "store", ""), read::text(d, "address", "")});
   }
   Out body;
@@ -489,10 +541,13 @@
       const peer::Call own{"", me_.name, incarnation_, text};
       t = co_await founded(own);
     } else {
-      const auto a = co_await caller(address_of(s))->call("/fleet/found", text, std::min(until, steady::now() + 1s));
+      const auto a =
+          co_await caller(address_of(s))->call("/fleet/found", text, std::min(until, steady::now() + 1s));
       t = a.how == peer::came::answered ? Told{a.status, a.body} : why(503, peer::word(a.how));
     }
-    if (t.status != 200) co_return why(t.status, fmt::format("{}: {}; ask again once it is mended", s.voter, read::text(peer::parsed(t.body), "why", "")));
+    if (t.status != 200)
+      co_return why(t.status, fmt::format("{}: {}; ask again once it is mended", s.voter,
+                                          read::text(peer::parsed(t.body), "why", "")));
   }
   know(v);
   co_return co_await status(until);
@@ -519,26 +574,38 @@
     if (gone == 0) co_return why(400, fmt::format("{} is no voter", out));
   }
   if (!in.empty()) {
-    const auto m = std::find_if(heard->begin(), heard->end(), [&](const auto& s) { return s.about.name == in; });
+    const auto m =
+        std::find_if(heard->begin(), heard->end(), [&](const auto& s) { return s.about.name == in; });
     if (m == heard->end()) co_return why(400, fmt::format("{} is not heard of: start it first", in));
     if (m->about.store.empty()) co_return why(400, fmt::format("{} has no store, and can't vote", in));
-    if (std::any_of(wanted.begin(), wanted.end(), [&](const Seat& s) { return s.voter == in; })) co_return why(400, fmt::format("{} is a voter", in));
+    if (std::any_of(wanted.begin(), wanted.end(), [&](const Seat& s) { return s.voter == in; }))
+      co_return why(400, fmt::format("{} is a voter", in));
     if (now.seat(m->about.store)) co_return why(400, fmt::format("{} has the store that votes already", in));
     wanted.push_back({in, m->about.store, m->about.address});
   }
-  if (wanted.empty() || wanted.size() > most_voters) co_return why(400, fmt::format("{} voters can't be", wanted.size()));
+  if (wanted.empty() || wanted.size() > most_voters)
+    co_return why(400, fmt::format("{} voters can't be", wanted.size()));
   std::set<std::string> live;
   std::string missing;
   for (const Seat& s : wanted) {
-    const bool is = std::any_of(heard->begin(), heard->end(), [&](const auto& m) { return m.about.store == s.store && m.is == members::standing::heard; });
-    if (is) live.insert(s.store);
-    else missing += (missing.empty() ? "" : ", ") + s.voter;
+    const bool is = std::any_of(heard->begin(), heard->end(), [&](const auto& m) {
+      return m.about.store == s.store && m.is == members::standing::heard;
+    });
+    if (is)
+      live.insert(s.store);
+    else
+      missing += (missing.empty() ? "" : ", ") + s.voter;
   }
   // All that is left has to carry one failure less than before, or it is said what is given up.
   if (2 * live.size() <= wanted.size() && !force)
-    co_return why(400, fmt::format("of {} voters {} would be live ({} not heard): no majority, every register would stand still; "
-                                   "--force does it all the same", wanted.size(), live.size(), missing));
-  if (!co_await agreement_.change(wanted, until)) co_return why(503, "the change is under way and did not end in time; ask again, or see status");
+    co_return why(
+        400,
+        fmt::format(
+            "of {} voters {} would be live ({} not heard): no majority, every register would stand still; "
+            "--force does it all the same",
+            wanted.size(), live.size(), missing));
+  if (!co_await agreement_.change(wanted, until))
+    co_return why(503, "the change is under way and did not end in time; ask again, or see status");
   // Who votes now is told at once; whoever misses it is told at its next call.
   for (const auto& set : {now.now, wanted})
     for (const Seat& s : set) {
@@ -546,7 +613,8 @@
       a.what = phase::names;
       a.store = s.store;
       a.voters = agreement_.voters();
-      asio::co_spawn(io_, to_voter(s, a, steady::now() + 1s), [](std::exception_ptr, const std::optional<Reply>&) {});
+      asio::co_spawn(io_, to_voter(s, a, steady::now() + 1s),
+                     [](std::exception_ptr, const std::optional<Reply>&) {});
     }
   co_return co_await status(until);
 }
@@ -556,10 +624,18 @@
 std::string Fleet::told() const {
   const Voters& v = agreement_.voters();
   Out out;
-  out.put("fleet", said_.name.value).put("me", me_.name).put("incarnation", incarnation_).put("voters_version", v.version).put("changing", v.changing());
+  out.put("fleet", said_.name.value)
+      .put("me", me_.name)
+      .put("incarnation", incarnation_)
+      .put("voters_version", v.version)
+      .put("changing", v.changing());
   const auto seats = v.all();
   out.list("voters", seats, [](Out& o, const Seat& s) { o.put("voter", s.voter).put("address", s.address); });
-  if (voter_) out.put("vote", store_failed_ ? "store failed" : voter_->standing() == verdict::yes ? "votes" : voter_->standing() == verdict::older ? "older copy" : "returning");
+  if (voter_)
+    out.put("vote", store_failed_                          ? "store failed"
+                    : voter_->standing() == verdict::yes   ? "votes"
+                    : voter_->standing() == verdict::older ? "older copy"
+                                                           : "returning");
   std::vector<std::pair<std::string, bool>> heard;
   for (const auto& [address, b] : beating_) heard.emplace_back(address, b.second);
   out.list("beats", heard, [](Out& o, const auto& b) { o.put("to", b.first).put("heard", b.second); });
@@ -569,17 +645,20 @@
 std::string Fleet::figures() const {
   std::string out;
   const auto one = [&](const char* name, const char* type, const char* help, std::uint64_t n) {
-    out += fmt::format("# HELP svc_fleet_{0} {2}\n# TYPE svc_fleet_{0} {1}\nsvc_fleet_{0} {3}\n", name, type, help, n);
+    out += fmt::format("# HELP svc_fleet_{0} {2}\n# TYPE svc_fleet_{0} {1}\nsvc_fleet_{0} {3}\n", name, type,
+                       help, n);
   };
   one("beats_total", "counter", "Beats to voters.", beats_);
   one("beats_failed_total", "counter", "Beats that no voter answered.", beats_failed_);
   one("voters_heard", "gauge", "Voters that answered the last beat.",
-      std::uint64_t(std::count_if(beating_.begin(), beating_.end(), [](const auto& b) { return b.second.second; })));
+      std::uint64_t(
+          std::count_if(beating_.begin(), beating_.end(), [](const auto& b) { return b.second.second; })));
   one("voters_version", "gauge", "Version of the voters that this node knows.", agreement_.voters().version);
   one("tries_total", "counter", "Tries at calls on registers.", agreement_.tries);
   one("outbid_total", "counter", "Tries that another one outbid.", agreement_.outbid);
   one("unknown_total", "counter", "Writes whose outcome is not known.", agreement_.unknown);
-  one("strangers_total", "counter", "Calls turned away: another fleet, a newer format, no name.", listener_.strangers());
+  one("strangers_total", "counter", "Calls turned away: another fleet, a newer format, no name.",
+      listener_.strangers());
   if (!voter_) return out;
   const auto f = store_->figures();
   one("votes_now", "gauge", "1 if this node may vote.", voter_->standing() == verdict::yes ? 1 : 0);
--- a/src/node/fleet.h
+++ b/src/node/fleet.h
@@ -1,5 +1,6 @@
-// One node's part in its fleet: it beats to the voters, votes where it has a store, carries calls on registers, and answers
-// operators. No txn's path calls into any of this; without [fleet] in our file none of it is made.
+// One node's part in its fleet: it beats to the voters, votes where it has a store, carries calls on
+// registers, and answers operators. No txn's path calls into any of this; without [fleet] in our file none of
+// it is made.
 #pragma once
 
 #include <algorithm>
@@ -28,8 +29,10 @@
     std::string name, hall, version, config;
     int tier = 0;
   };
-  // `sockets` outlive `io` and what it still holds at the end. Opens the store. Throws store::refused with the reason.
-  Fleet(asio::io_context& io, Sockets& sockets, const config::Fleet& said, Identity me, records::Facts& facts);
+  // `sockets` outlive `io` and what it still holds at the end. Opens the store. Throws store::refused with
+  // the reason.
+  Fleet(asio::io_context& io, Sockets& sockets, const config::Fleet& said, Identity me,
+        records::Facts& facts);
   ~Fleet();
   void listen();  // throws if it can't
   awaitable<void> accept() { return listener_.accept(); }
@@ -57,7 +60,8 @@
   awaitable<Told> init(steady::time_point until);
   awaitable<Told> change(const value& o, steady::time_point until);
 
-  awaitable<std::optional<consensus::Reply>> to_voter(consensus::Seat seat, consensus::Ask ask, steady::time_point until);
+  awaitable<std::optional<consensus::Reply>> to_voter(consensus::Seat seat, consensus::Ask ask,
+                                                      steady::time_point until);
   awaitable<std::optional<consensus::Reply>> vote(consensus::Ask ask);
   awaitable<bool> lasts(std::optional<consensus::Change> change);
   void failed();
@@ -86,7 +90,8 @@
   Agreement agreement_;
   peer::Listener listener_;
   std::map<std::string, std::shared_ptr<peer::Caller>> callers_;  // by address
-  std::map<std::string, std::pair<std::string, bool>> beating_;   // by address: whom to, and whether it was heard last
+  std::map<std::string, std::pair<std::string, bool>>
+      beating_;  // by address: whom to, and whether it was heard last
   std::map<std::string, log::Trouble> trouble_;
   std::uint64_t beats_ = 0, beats_failed_ = 0, asks_ = 0, beats_taken_ = 0;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/node/fleet_orders.h
+++ b/src/node/fleet_orders.h
@@ -1,4 +1,5 @@
-// `robinpin fleet ...`: an operator's orders to a running node of the fleet, and what it answers as a person reads it.
+// `robinpin fleet ...`: an operator's orders to a running node of the fleet, and what it answers as a person
+// reads it.
 #pragma once
 
 #include <string>
--- a/src/node/list.cpp
+++ b/src/node/list.cpp
@@ -86,7 +86,8 @@
     servers_.told(line.server, at, line.started, line.state == standing::gone);
     lines.push_back(line);
   }
-  // Who is not in it may be gone for longer than the grace once it is known whether to believe it: nothing goes there.
+  // Who is not in it may be gone for longer than the grace once it is known whether to believe it: nothing
+  // goes there.
   if (news.whole) servers_.only(servers);
   if (facts_ && facts_->on() && !older) recall(news);
   desk_.list_told(lines, news.whole && !older, asked && !older);
@@ -130,8 +131,8 @@
     ++counters_.list_failures;
     // A node that can't hear its list goes on with what it knows, and declines where it knows nothing.
     if (trouble_.fails(why_))
-      log::warning(log::part::list, "the list is not heard from {}:{}: {}{}", at_.address().to_string(), at_.port(),
-                   why_, servers_.any() ? "" : "; no server is known, so every txn is declined");
+      log::warning(log::part::list, "the list is not heard from {}:{}: {}{}", at_.address().to_string(),
+                   at_.port(), why_, servers_.any() ? "" : "; no server is known, so every txn is declined");
     desk_.list_failed();
   }
 }
@@ -141,8 +142,8 @@
   desk_.want_list();
 }
 
-// Versions may be counted anew elsewhere, and a watch after one that never comes would wait for ever: the whole
-// list is asked for.
+// Versions may be counted anew elsewhere, and a watch after one that never comes would wait for ever: the
+// whole list is asked for.
 void List::move(tcp::endpoint to) {
   if (to == at_) return;
   at_ = to;
@@ -203,13 +204,14 @@
     connection_ = std::make_shared<Connection>(tcp::socket(io_), sockets_, HTTP_RESPONSE, list_limits);
     connection_->limit(steady::now() + dial_limit);
     if (const auto error = co_await connection_->connect(at_))
-      co_return failed(connection_ && connection_->ran_out() ? "no connection within a second" : error.message());
+      co_return failed(connection_ && connection_->ran_out() ? "no connection within a second"
+                                                             : error.message());
   }
   const auto c = connection_;
   c->limit(steady::now() + watch_for + answer_slack);
   const std::string ask =
-      fmt::format("GET /registry/instances?after={}&wait_ms={} HTTP/1.1\r\nHost: discovery\r\n\r\n", versions_.after(),
-                  watch_for.count());
+      fmt::format("GET /registry/instances?after={}&wait_ms={} HTTP/1.1\r\nHost: discovery\r\n\r\n",
+                  versions_.after(), watch_for.count());
   std::size_t written = 0;
   if (const auto error = co_await c->write(ask, {}, written)) co_return failed(error.message());
   asio::error_code error;
--- a/src/node/list.h
+++ b/src/node/list.h
@@ -33,15 +33,16 @@
  public:
   List(asio::io_context& io, Sockets& sockets, Counters& counters, Desk& desk, Servers& servers,
        tcp::endpoint at, steady::duration doubt_after = std::chrono::seconds(2),
-       steady::duration doubt_every = std::chrono::seconds(10), records::Facts* facts = nullptr, std::uint32_t seed = 0);
+       steady::duration doubt_every = std::chrono::seconds(10), records::Facts* facts = nullptr,
+       std::uint32_t seed = 0);
   void told(const News& news, bool asked);
   bool heard() const { return heard_; }  // from discovery, by this process
-  awaitable<void> follow();  // runs as long as the node
-  void ask_whole();          // now, once: who starts beside another needs an answer, not the next change
+  awaitable<void> follow();              // runs as long as the node
+  void ask_whole();  // now, once: who starts beside another needs an answer, not the next change
   // From now on the list is told elsewhere: it is asked there at once, from the start.
   void move(tcp::endpoint to);
-  // A server that is listed takes no connection: a call that has been silent for a while is made anew, not more
-  // often than now and then.
+  // A server that is listed takes no connection: a call that has been silent for a while is made anew, not
+  // more often than now and then.
   void doubt();
 
  private:
@@ -66,7 +67,8 @@
   std::string why_;       // the last call failed
   log::Trouble trouble_;
   records::Facts* facts_;
-  std::unordered_map<std::string, std::pair<standing, micros>> told_;  // state and start, where records are kept
+  std::unordered_map<std::string, std::pair<standing, micros>>
+      told_;  // state and start, where records are kept
   steady::duration doubt_after_, doubt_every_;
   steady::time_point asked_at_{}, doubted_at_{};
 };
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -69,7 +69,8 @@
     if (names.contains(name)) return false;
     std::string list;
     for (const auto& [other, none] : names) list += " " + other;
-    complain(fmt::format("{}: \"{}\" is not known; the terms have{}\n", what, name, list.empty() ? " none" : list));
+    complain(fmt::format("{}: \"{}\" is not known; the terms have{}\n", what, name,
+                         list.empty() ? " none" : list));
     return true;
   };
   if (unknown("--scheme", txn.scheme, known->schemes)) return misused;
@@ -92,21 +93,27 @@
       "Without a command it serves, by what EDGE_CONFIG and the other EDGE_ variables say."};
   app.require_subcommand(0, 1);
   app.footer(
-      "Exit codes: 0 good; 1 a fault in a file, or the node can't start; 2 a command that is not known, or misused.\n"
+      "Exit codes: 0 good; 1 a fault in a file, or the node can't start; 2 a command that is not known, or "
+      "misused.\n"
       "Keys of the file: docs/configuration.md.\n"
       "Roles of the mesh: `robinpin ambit --help`, `robinpin locus --help` (docs/operators/mesh.md).");
 
   std::string file, terms, format = "text";
   config::Question txn;
 
-  auto* serve = app.add_subcommand("serve", "Serve until SIGTERM. SIGHUP reads the files again, whole or not at all.");
-  serve->add_option("--config", file,
-                    "a file of ours (TOML): limits per route, log, records.\nWhere EDGE_CONFIG speaks too, the stricter holds.")
+  auto* serve =
+      app.add_subcommand("serve", "Serve until SIGTERM. SIGHUP reads the files again, whole or not at all.");
+  serve
+      ->add_option("--config", file,
+                   "a file of ours (TOML): limits per route, log, records.\nWhere EDGE_CONFIG speaks too, "
+                   "the stricter holds.")
       ->type_name("FILE");
 
-  auto* checks = app.add_subcommand("check", "Read a file as `serve` would and tell every fault in it, with line and column.");
+  auto* checks = app.add_subcommand(
+      "check", "Read a file as `serve` would and tell every fault in it, with line and column.");
   checks->add_option("file", file, "the file of ours")->required()->type_name("FILE");
-  checks->add_option("--terms", terms, "the node's JSON (as EDGE_CONFIG names it): checks the four rules, too")
+  checks
+      ->add_option("--terms", terms, "the node's JSON (as EDGE_CONFIG names it): checks the four rules, too")
       ->type_name("NODE.json");
   checks->add_option("--format", format, "text, or one JSON object on standard output")
       ->check(CLI::IsMember({"text", "json"}))
@@ -132,7 +139,8 @@
     c->callback([&order, name] { order.what = name; });
     return c;
   };
-  ordering("init", "Found the fleet: the voters that the file names, each of them there, with a store of its own.");
+  ordering("init",
+           "Found the fleet: the voters that the file names, each of them there, with a store of its own.");
   ordering("status", "Who votes, who is heard, and whether a majority answers (exit code 1: none).");
   auto* got = ordering("get", "Read a register, as fresh as a majority has it.");
   got->add_option("name", order.name, "the register")->required();
@@ -140,14 +148,16 @@
   put->add_option("name", order.name, "the register")->required();
   put->add_option("text", order.text, "its new text")->required();
   put->add_option("--version", order.version, "only on this version");
-  auto* replaced = ordering("replace", "Another voter in one's place. A voter that lost its store is replaced by itself.");
+  auto* replaced =
+      ordering("replace", "Another voter in one's place. A voter that lost its store is replaced by itself.");
   replaced->add_option("old", order.remove, "the voter that goes")->required();
   replaced->add_option("new", order.add, "the node that votes from then on")->required();
   auto* added = ordering("add", "One voter more.");
   added->add_option("new", order.add, "the node that votes from then on")->required();
   auto* removed = ordering("remove", "One voter less.");
   removed->add_option("old", order.remove, "the voter that goes")->required();
-  for (auto* c : {replaced, added, removed}) c->add_flag("--force", order.force, "also where no majority of live voters would be left");
+  for (auto* c : {replaced, added, removed})
+    c->add_flag("--force", order.force, "also where no majority of live voters would be left");
 
   auto* version = app.add_subcommand("version", "Tell the version.");
 
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -41,7 +41,8 @@
 }
 
 records::Keeping keeping_of(const config::Records& said) {
-  return {said.path.value, said.rotate_at.value, said.keep.value, std::size_t(said.queue.value), said.flush.value};
+  return {said.path.value, said.rotate_at.value, said.keep.value, std::size_t(said.queue.value),
+          said.flush.value};
 }
 
 // The stricter of the platform's and ours holds.
@@ -66,7 +67,8 @@
         twins_(boot_.folder),
         facts_(ours && ours->file.records.path.said() ? kept(ours->file.records) : records::Facts()),
         fleet_sockets_(Fleet::descriptors_of(boot_.most_sockets)),
-        sockets_(boot_.most_sockets - (ours && ours->file.fleet.on() ? Fleet::descriptors_of(boot_.most_sockets) : 0)),
+        sockets_(boot_.most_sockets -
+                 (ours && ours->file.fleet.on() ? Fleet::descriptors_of(boot_.most_sockets) : 0)),
         routes_(boot_.house, counters_, facts_),
         desk_(io_, clock_, counters_, boot_.house.terms, boot_.seed, &facts_),
         servers_(io_, clock_, sockets_, counters_, boot_.house, boot_.most_answer),
@@ -125,7 +127,8 @@
     if (!ours || !ours->file.fleet.on()) return nullptr;
     const config::Fleet& f = ours->file.fleet;
     return std::make_unique<Fleet>(io_, fleet_sockets_, f,
-                                   Fleet::Identity{f.me.said() ? f.me.value : boot_.name, f.hall.said() ? f.hall.value : boot_.house.terms.zone,
+                                   Fleet::Identity{f.me.said() ? f.me.value : boot_.name,
+                                                   f.hall.said() ? f.hall.value : boot_.house.terms.zone,
                                                    ROBINPIN_VERSION, ours->file.hash, boot_.house.terms.tier},
                                    facts_);
   }
@@ -157,14 +160,16 @@
     io_.stop();
   }
 
-  // A process that starts while another serves takes clients once it has heard the list, which that one follows since
-  // long, or when there is no more time to wait for it. The platform counts from when the process was there: what a busy
-  // machine made of its start is taken off.
+  // A process that starts while another serves takes clients once it has heard the list, which that one
+  // follows since long, or when there is no more time to wait for it. The platform counts from when the
+  // process was there: what a busy machine made of its start is taken off.
   awaitable<void> take_over() {
     asio::steady_timer pause(io_);
-    const auto until = steady::now() + take_over_within - std::min<steady::duration>(age_of_process(), take_over_within);
+    const auto until =
+        steady::now() + take_over_within - std::min<steady::duration>(age_of_process(), take_over_within);
     list_.ask_whole();
-    for (const auto least = steady::now() + 2 * look; steady::now() < least || (!list_.heard() && steady::now() < until);) {
+    for (const auto least = steady::now() + 2 * look;
+         steady::now() < least || (!list_.heard() && steady::now() < until);) {
       pause.expires_after(std::chrono::milliseconds(10));
       co_await pause.async_wait(asio::use_awaitable);
     }
@@ -178,7 +183,8 @@
     asio::steady_timer pause(io_);
     for (int before = 1;;) {
       const int n = twins_.alive();
-      if (n != before) log::info(log::part::node, "{}: {} process{} of this node", boot_.name, n, n == 1 ? "" : "es");
+      if (n != before)
+        log::info(log::part::node, "{}: {} process{} of this node", boot_.name, n, n == 1 ? "" : "es");
       before = n;
       sockets_.most(std::max(least_share, (boot_.most_sockets + boot_.kept_back) / n - boot_.kept_back));
       sockets_.make_room();
@@ -197,7 +203,8 @@
 
   std::string metrics() {
     counters_.records_dropped = facts_.dropped();
-    return figures(counters_, boot_.house.scheme_names, {clients_.pending(), desk_.members(), desk_.avoided()}) +
+    return figures(counters_, boot_.house.scheme_names,
+                   {clients_.pending(), desk_.members(), desk_.avoided()}) +
            (fleet_ ? fleet_->figures() : "");
   }
 
@@ -211,8 +218,9 @@
     }
   }
 
-  // The platform's file may move discovery and change the terms, ours the limits and the deployment. They are taken on
-  // whole or not at all: not under a faulty file of ours, nor where a part of them needs a new start.
+  // The platform's file may move discovery and change the terms, ours the limits and the deployment. They are
+  // taken on whole or not at all: not under a faulty file of ours, nor where a part of them needs a new
+  // start.
   awaitable<void> read_when_renewed() {
     for (;;) {
       co_await renewals_.async_wait(asio::use_awaitable);
@@ -248,14 +256,16 @@
     const std::string bound = same ? "" : desk_.adopt(wanted.terms);
     if (!bound.empty()) {
       ++counters_.terms_refused;
-      log::error(log::part::config, "{}: the new terms are not used, they need a new start: {}", boot_.name, bound);
+      log::error(log::part::config, "{}: the new terms are not used, they need a new start: {}", boot_.name,
+                 bound);
       return false;
     }
     platform_ = platform;
     const auto before = std::exchange(boot_.house, wanted);
     // What a client sent under the old file is still taken in its scheme.
     for (const auto& [name, number] : before.schemes)
-      if (boot_.house.schemes.emplace(name, number).second) spawn([this, name = name] { return close_scheme(name); });
+      if (boot_.house.schemes.emplace(name, number).second)
+        spawn([this, name = name] { return close_scheme(name); });
     facts_.names(boot_.house.scheme_names, boot_.house.tenant_names);
     if (!same) {
       ++counters_.terms_switched;
@@ -280,8 +290,9 @@
   }
 
   static constexpr auto look = std::chrono::milliseconds(100);  // for other processes
-  static constexpr auto take_over_within = std::chrono::milliseconds(3000);  // half of what the platform allows
-  static constexpr int least_share = 16;                         // of descriptors
+  static constexpr auto take_over_within =
+      std::chrono::milliseconds(3000);    // half of what the platform allows
+  static constexpr int least_share = 16;  // of descriptors
 
   read::House platform_;  // the platform's, as last taken
   Boot boot_;             // its house: the terms in force, with ours in them
--- a/src/node/servers.cpp
+++ b/src/node/servers.cpp
@@ -170,12 +170,13 @@
   if (call.withdrawn || !c.open() || left <= 0) co_return;
   a.came = how_far::connected;
   c.limit(clock_.at(expiry));
-  const std::string start = fmt::format("{}{}Request-Timeout-Ms: {}\r\n", outbound.start, outbound.headers, left / 1000);
+  const std::string start =
+      fmt::format("{}{}Request-Timeout-Ms: {}\r\n", outbound.start, outbound.headers, left / 1000);
   micros sent = 0;
   if (outbound.source) {
     const auto told = outbound.source->in.told();
-    const std::string head =
-        told ? fmt::format("{}Content-Length: {}\r\n\r\n", start, *told) : start + "Transfer-Encoding: chunked\r\n\r\n";
+    const std::string head = told ? fmt::format("{}Content-Length: {}\r\n\r\n", start, *told)
+                                  : start + "Transfer-Encoding: chunked\r\n\r\n";
     if (co_await send_long(call, outbound, head, left)) co_return;
     sent = clock_.now();
   } else {
@@ -215,8 +216,8 @@
   if (c.quiet()) keep(uid, std::move(call.connection));
 }
 
-// A server that has given up a connection resets it at the first bytes of a request. Where the request may run
-// once only, its last byte waits until that would be known: before it nothing runs.
+// A server that has given up a connection resets it at the first bytes of a request. Where the request may
+// run once only, its last byte waits until that would be known: before it nothing runs.
 awaitable<asio::error_code> Servers::send(Connection& c, const Outbound& outbound, std::string_view head,
                                           std::size_t& written) {
   std::string_view body = outbound.body;
@@ -241,8 +242,9 @@
 
 std::string chunk_head(std::size_t size) { return fmt::format("{:x}\r\n", size); }
 
-// As it comes from the client: each piece is read when the one before it is written, so that neither side's pace
-// fills the node. What was read is let go with the next piece; before that another server could still be tried.
+// As it comes from the client: each piece is read when the one before it is written, so that neither side's
+// pace fills the node. What was read is let go with the next piece; before that another server could still be
+// tried.
 awaitable<asio::error_code> Servers::send_long(Call& call, const Outbound& outbound, std::string_view head,
                                                micros left) {
   Connection &c = *call.connection, &from = *outbound.source;
@@ -300,14 +302,16 @@
     got = co_await from.more(error);
     waited += steady::now() - since;
     if (broken_off()) co_return over(asio::error_code(asio::error::connection_reset));
-    call.source_failed = error || too_slow(waited, from.in.came()) || (got != reading::unfinished && got != reading::complete);
+    call.source_failed =
+        error || too_slow(waited, from.in.came()) || (got != reading::unfinished && got != reading::complete);
     if (call.source_failed) co_return over(asio::error_code(asio::error::eof));
     from.no_limit();
   }
   if (call.moved) call.moved();
   over({});
   std::size_t written = 0;
-  const auto broken = outbound.once ? co_await send_last(c, last, written) : co_await c.write(last, {}, written);
+  const auto broken =
+      outbound.once ? co_await send_last(c, last, written) : co_await c.write(last, {}, written);
   if (written == last.size()) {
     call.answer.came = how_far::written;
     ++counters_.postings_written;
--- a/src/node/servers.h
+++ b/src/node/servers.h
@@ -21,7 +21,8 @@
   std::string start;    // method, target and version
   std::string headers;  // each with its line end
   std::string body;
-  std::shared_ptr<Connection> source;  // of a body too long to be kept: the client's connection, which it comes from
+  std::shared_ptr<Connection>
+      source;         // of a body too long to be kept: the client's connection, which it comes from
   bool once = false;  // it must not run twice: what is reset before its last byte is out can be posted again
 };
 
@@ -41,7 +42,7 @@
 // A posting on its way, which may be withdrawn.
 struct Call {
   bool withdrawn = false;
-  bool let_go = false;  // of a long body, what a server would need to begin anew
+  bool let_go = false;         // of a long body, what a server would need to begin anew
   bool source_failed = false;  // the client broke off its long body
   std::string server;
   std::function<void()> moved;  // a long body has come on
@@ -59,8 +60,8 @@
 constexpr steady::duration open_ended_kept = std::chrono::milliseconds(20);
 // Without any progress for so long a transfer ends.
 constexpr steady::duration stall_limit = std::chrono::seconds(8);
-// Pieces of a body that trickle in must not hold a transfer for ever: beside the time for one, what it has been waited
-// for is at most what it takes at that pace.
+// Pieces of a body that trickle in must not hold a transfer for ever: beside the time for one, what it has
+// been waited for is at most what it takes at that pace.
 constexpr std::size_t least_pace = 4 * 1024;  // bytes a second
 inline bool too_slow(steady::duration waited, std::uint64_t came) {
   return waited > stall_limit + std::chrono::microseconds(came * 1'000'000 / least_pace);
@@ -99,7 +100,8 @@
   awaitable<void> exchange(Call& call, const std::string& uid, const Outbound& outbound, micros expiry);
   awaitable<asio::error_code> send(Connection& c, const Outbound& outbound, std::string_view head,
                                    std::size_t& written);
-  awaitable<asio::error_code> send_long(Call& call, const Outbound& outbound, std::string_view head, micros left);
+  awaitable<asio::error_code> send_long(Call& call, const Outbound& outbound, std::string_view head,
+                                        micros left);
   awaitable<asio::error_code> send_last(Connection& c, std::string_view last, std::size_t& written);
   void read_answer(Call& call, const Message& m) const;
 
--- a/src/node/twins.cpp
+++ b/src/node/twins.cpp
@@ -12,7 +12,8 @@
 
 namespace {
 
-// Locks of the open file, not of the process: what opens and closes the same file elsewhere does not lose them.
+// Locks of the open file, not of the process: what opens and closes the same file elsewhere does not lose
+// them.
 struct flock whole_file() {
   struct flock all {};
   all.l_type = F_WRLCK;
@@ -70,7 +71,8 @@
   const long long a_second = ::sysconf(_SC_CLK_TCK);
   if (!(fields >> started) || a_second <= 0 || ::clock_gettime(CLOCK_BOOTTIME, &now) != 0) return {};
   const long long age = now.tv_sec * 1000LL + now.tv_nsec / 1'000'000 - started * 1000 / a_second;
-  return std::chrono::milliseconds(age > 0 && age < 60'000 ? age : 0);  // another clock than the kernel's, else
+  return std::chrono::milliseconds(age > 0 && age < 60'000 ? age
+                                                           : 0);  // another clock than the kernel's, else
 }
 
 }  // namespace robinpin::node
--- a/src/node/twins.h
+++ b/src/node/twins.h
@@ -1,6 +1,7 @@
-// How many processes of this node live: a new one starts while the old one still serves, and to the platform's limits
-// the two are one. Each holds a lock on a file of its own in the folder that they share, which ends with the process
-// however that ends; nothing else is said between them, so nothing can be old or torn.
+// How many processes of this node live: a new one starts while the old one still serves, and to the
+// platform's limits the two are one. Each holds a lock on a file of its own in the folder that they share,
+// which ends with the process however that ends; nothing else is said between them, so nothing can be old or
+// torn.
 #pragma once
 
 #include <chrono>
--- a/src/peer/caller.cpp
+++ b/src/peer/caller.cpp
@@ -63,7 +63,8 @@
   }
   c->limit(until);
   const std::string head = fmt::format(
-      "POST {} HTTP/1.1\r\nHost: fleet\r\nFleet: {}\r\nNode: {}\r\nIncarnation: {}\r\nFormat: {}\r\nContent-Length: {}\r\n\r\n",
+      "POST {} HTTP/1.1\r\nHost: fleet\r\nFleet: {}\r\nNode: {}\r\nIncarnation: {}\r\nFormat: "
+      "{}\r\nContent-Length: {}\r\n\r\n",
       path, who_.fleet, who_.node, who_.incarnation, format, body.size());
   std::size_t written = 0;
   asio::error_code error = co_await c->write(head, body, written);
--- a/src/peer/caller.h
+++ b/src/peer/caller.h
@@ -1,4 +1,5 @@
-// Calls to one other process, over kept connections: bounded, with a time limit each. It sends once and never again by itself.
+// Calls to one other process, over kept connections: bounded, with a time limit each. It sends once and never
+// again by itself.
 #pragma once
 
 #include <deque>
@@ -30,7 +31,7 @@
 
 class Caller : public std::enable_shared_from_this<Caller> {
  public:
-  static constexpr int most_at_once = 8;             // connections to one process
+  static constexpr int most_at_once = 8;            // connections to one process
   static constexpr std::size_t most_waiting = 128;  // calls beyond those; further ones are crowded out
 
   Caller(asio::io_context& io, Sockets& sockets, Who who, tcp::endpoint to)
--- a/src/peer/listener.cpp
+++ b/src/peer/listener.cpp
@@ -15,7 +15,11 @@
 constexpr steady::duration idle_limit = 60s, call_limit = 5s, answer_limit = 5s;
 
 const char* phrase(int status) {
-  return status == 200 ? "OK" : status == 404 ? "Not Found" : status == 403 ? "Forbidden" : status == 503 ? "Service Unavailable" : "Bad Request";
+  return status == 200   ? "OK"
+         : status == 404 ? "Not Found"
+         : status == 403 ? "Forbidden"
+         : status == 503 ? "Service Unavailable"
+                         : "Bad Request";
 }
 
 }  // namespace
@@ -37,7 +41,8 @@
       continue;
     }
     socket.set_option(tcp::no_delay(true), error);
-    callers_.push_back({std::make_shared<Connection>(std::move(socket), sockets_, HTTP_REQUEST, call_limits), false, steady::now()});
+    callers_.push_back({std::make_shared<Connection>(std::move(socket), sockets_, HTTP_REQUEST, call_limits),
+                        false, steady::now()});
     asio::co_spawn(io_, serve(std::prev(callers_.end())), asio::detached);
   }
 }
@@ -56,9 +61,11 @@
   if (m.method() != "POST") return "only POST";
   const auto said = codec::whole_number(m.header("Format"));
   if (said < 1) return "the format is not told";
-  if (said > format) return fmt::format("format {} is newer than this node's, {}: upgrade the voters first", said, format);
+  if (said > format)
+    return fmt::format("format {} is newer than this node's, {}: upgrade the voters first", said, format);
   if (m.header("Fleet") != fleet_) return fmt::format("this is fleet \"{}\"", fleet_);
-  if (!codec::plain_word(m.header("Node")) || !codec::plain_word(m.header("Incarnation"))) return "who calls is not told";
+  if (!codec::plain_word(m.header("Node")) || !codec::plain_word(m.header("Incarnation")))
+    return "who calls is not told";
   return "";
 }
 
@@ -81,15 +88,17 @@
         told = {400, Out().put("why", no).end()};
       } else {
         c->limit(steady::now() + call_limit);
-        Call call{std::string(c->in.target()), std::string(c->in.header("Node")), std::string(c->in.header("Incarnation")), std::string(c->in.body())};
+        Call call{std::string(c->in.target()), std::string(c->in.header("Node")),
+                  std::string(c->in.header("Incarnation")), std::string(c->in.body())};
         try {
           told = co_await take_(std::move(call));
         } catch (const read::malformed& wrong) {
           told = {400, Out().put("why", wrong.what()).end()};
         }
       }
-      const std::string head = fmt::format("HTTP/1.1 {} {}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n{}\r\n",
-                                           told.status, phrase(told.status), told.body.size(), stays ? "" : "Connection: close\r\n");
+      const std::string head = fmt::format(
+          "HTTP/1.1 {} {}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n{}\r\n", told.status,
+          phrase(told.status), told.body.size(), stays ? "" : "Connection: close\r\n");
       c->limit(steady::now() + answer_limit);
       std::size_t written = 0;
       if (co_await c->write(head, told.body, written)) break;
--- a/src/peer/listener.h
+++ b/src/peer/listener.h
@@ -1,4 +1,5 @@
-// Where other processes of the fleet call: who may, and how much at once. What a call means is its taker's matter.
+// Where other processes of the fleet call: who may, and how much at once. What a call means is its taker's
+// matter.
 #pragma once
 
 #include <functional>
--- a/src/peer/wire.cpp
+++ b/src/peer/wire.cpp
@@ -25,7 +25,9 @@
 void put(Out& out, const char* round, const char* by, const Ballot& b) {
   if (b.round > 0) out.put(round, b.round).put(by, b.proposer);
 }
-Ballot ballot(const read::value& o, const char* round, const char* by) { return {count(o, round), text(o, by)}; }
+Ballot ballot(const read::value& o, const char* round, const char* by) {
+  return {count(o, round), text(o, by)};
+}
 
 void put(Out& out, const Value& v) {
   if (v.version > 0) out.put("version", v.version).put("text", v.text).put("by", v.by);
@@ -77,7 +79,8 @@
   a.voters = voters_of(d);
   if (const auto* seen = read::find(d, "seen"))
     read::each(*seen, "seen", [&](const read::value& s) {
-      if (a.seen.size() < most_seen) a.seen.emplace_back(text(read::object(s, "seen"), "store"), count(s, "counter"));
+      if (a.seen.size() < most_seen)
+        a.seen.emplace_back(text(read::object(s, "seen"), "store"), count(s, "counter"));
     });
   return a;
 }
@@ -113,9 +116,17 @@
 
 std::string text_of(const members::About& a) {
   return Out()
-      .put("name", a.name).put("incarnation", a.incarnation).put("hall", a.hall).put("version", a.version)
-      .put("config", a.config).put("address", a.address).put("store", a.store).put("tier", a.tier)
-      .put("counter", a.counter).put("every", std::int64_t(a.every)).end();
+      .put("name", a.name)
+      .put("incarnation", a.incarnation)
+      .put("hall", a.hall)
+      .put("version", a.version)
+      .put("config", a.config)
+      .put("address", a.address)
+      .put("store", a.store)
+      .put("tier", a.tier)
+      .put("counter", a.counter)
+      .put("every", std::int64_t(a.every))
+      .end();
 }
 
 members::About about_of(std::string_view json) {
@@ -131,7 +142,8 @@
   a.tier = int(read::number(d, "tier", 0));
   a.counter = count(d, "counter");
   a.every = std::int64_t(std::min<std::uint64_t>(count(d, "every"), 3'600'000'000));
-  if (a.name.empty() || a.incarnation.empty() || a.every == 0) read::wrong("name, incarnation or every is missing");
+  if (a.name.empty() || a.incarnation.empty() || a.every == 0)
+    read::wrong("name, incarnation or every is missing");
   if (json.size() > 4096) read::wrong("too long");
   return a;
 }
--- a/src/peer/wire.h
+++ b/src/peer/wire.h
@@ -1,5 +1,5 @@
-// What processes of a fleet say to each other, as JSON: the calls of consensus, beats, and what an operator asks of a node.
-// Read with the node's JSON reader; what is no such text throws read::malformed.
+// What processes of a fleet say to each other, as JSON: the calls of consensus, beats, and what an operator
+// asks of a node. Read with the node's JSON reader; what is no such text throws read::malformed.
 #pragma once
 
 #include <rapidjson/stringbuffer.h>
--- a/src/port/calls.h
+++ b/src/port/calls.h
@@ -29,7 +29,8 @@
   std::uint64_t sequence = 0;
   static std::optional<Heartbeat> read(std::string_view argument, std::string_view body) {
     rapidjson::Document d;
-    if (argument.empty() || d.Parse(body.data(), body.size()).HasParseError() || !d.IsObject()) return std::nullopt;
+    if (argument.empty() || d.Parse(body.data(), body.size()).HasParseError() || !d.IsObject())
+      return std::nullopt;
     const auto text = [&](const char* p) -> std::string {
       const rapidjson::Value* v = rapidjson::Pointer(p).Get(d);
       return v && v->IsString() ? std::string(v->GetString(), v->GetStringLength()) : std::string();
@@ -37,8 +38,10 @@
     Heartbeat b;
     b.id = argument, b.target = text("/target"), b.address = text("/address"), b.zone = text("/zone");
     b.draining = text("/state") == "draining";
-    if (const auto* v = rapidjson::Pointer("/capacity").Get(d); v && v->IsInt()) b.capacity = std::max(1, v->GetInt());
-    if (const auto* v = rapidjson::Pointer("/sequence").Get(d); v && v->IsUint64()) b.sequence = v->GetUint64();
+    if (const auto* v = rapidjson::Pointer("/capacity").Get(d); v && v->IsInt())
+      b.capacity = std::max(1, v->GetInt());
+    if (const auto* v = rapidjson::Pointer("/sequence").Get(d); v && v->IsUint64())
+      b.sequence = v->GetUint64();
     b.warmup_left = std::max<std::int64_t>(0, creed::span_of(text("/warmup_left")));
     if (b.target.empty() || b.address.empty()) return std::nullopt;
     return b;
@@ -64,7 +67,9 @@
   static constexpr std::string_view method = "POST", path = "/v1/Configuration.Adjust";
   using Answer = Reply;
   std::string body;
-  static std::optional<Adjust> read(std::string_view, std::string_view body) { return Adjust{std::string(body)}; }
+  static std::optional<Adjust> read(std::string_view, std::string_view body) {
+    return Adjust{std::string(body)};
+  }
 };
 
 struct Read {
@@ -75,11 +80,13 @@
 
 template <bool begins>
 struct Evacuation {
-  static constexpr std::string_view method = "POST", path = begins ? "/v1/Evacuation.Begin/" : "/v1/Evacuation.Finish/";
+  static constexpr std::string_view method = "POST",
+                                    path = begins ? "/v1/Evacuation.Begin/" : "/v1/Evacuation.Finish/";
   using Answer = Reply;
   std::string zone;
   static std::optional<Evacuation> read(std::string_view argument, std::string_view) {
-    return argument.empty() || argument.size() > 200 ? std::nullopt : std::optional(Evacuation{std::string(argument)});
+    return argument.empty() || argument.size() > 200 ? std::nullopt
+                                                     : std::optional(Evacuation{std::string(argument)});
   }
 };
 
@@ -88,7 +95,8 @@
   using Answer = Reply;
   std::string count;
   static std::optional<CoreSize> read(std::string_view argument, std::string_view) {
-    return argument.empty() || argument.size() > 2 ? std::nullopt : std::optional(CoreSize{std::string(argument)});
+    return argument.empty() || argument.size() > 2 ? std::nullopt
+                                                   : std::optional(CoreSize{std::string(argument)});
   }
 };
 
--- a/src/port/port.h
+++ b/src/port/port.h
@@ -1,5 +1,5 @@
-// One generic handler for the calls of servers, operators and the platform: a call is a type that reads itself from a
-// request, its answer another that tells status and body. HTTP/1.1, JSON.
+// One generic handler for the calls of servers, operators and the platform: a call is a type that reads
+// itself from a request, its answer another that tells status and body. HTTP/1.1, JSON.
 #pragma once
 
 #include <asio.hpp>
@@ -23,15 +23,17 @@
 struct Reply {
   int status = 200;
   std::string body = "{}";
-  std::string headers;  // further ones, each with its line end
-  std::int64_t until = 0;  // microseconds of the steady clock: after it this says nothing of now, and 503 is answered. 0: for ever
+  std::string headers;     // further ones, each with its line end
+  std::int64_t until = 0;  // microseconds of the steady clock: after it this says nothing of now, and 503 is
+                           // answered. 0: for ever
 };
 
 // Of the calls at work on one port.
 struct Bounds {
-  std::size_t most_waiting = 128;          // one more is answered 503 unheard
+  std::size_t most_waiting = 128;         // one more is answered 503 unheard
   std::chrono::milliseconds wait{3'000};  // for an answer; then the connection ends without one
-  bool for_who_waits = false;  // a call whose caller has closed its end is not begun: it has gone elsewhere with it
+  bool for_who_waits =
+      false;  // a call whose caller has closed its end is not begun: it has gone elsewhere with it
 };
 
 std::string_view phrase(int status);
@@ -45,11 +47,12 @@
   Port(asio::io_context& io, Sockets& sockets, codec::Limits limits, Bounds bounds = {})
       : io_(io), sockets_(sockets), limits_(limits), bounds_(bounds), acceptor_(io) {}
 
-  // `Call` has `method`, `path` (what follows it is the argument) and `read(argument, body)`, which gives nothing for a
-  // text that is no such call; `Call::Answer` turns into a Reply.
+  // `Call` has `method`, `path` (what follows it is the argument) and `read(argument, body)`, which gives
+  // nothing for a text that is no such call; `Call::Answer` turns into a Reply.
   template <typename Call>
   void on(std::function<awaitable<typename Call::Answer>(Call)> answer) {
-    calls_.push_back({Call::method, Call::path, [answer](std::string_view argument, std::string_view body) -> awaitable<Reply> {
+    calls_.push_back({Call::method, Call::path,
+                      [answer](std::string_view argument, std::string_view body) -> awaitable<Reply> {
                         std::optional<Call> call = Call::read(argument, body);
                         if (!call) co_return Reply{400, R"({"fault":"this call can't be read"})", {}};
                         typename Call::Answer said = co_await answer(std::move(*call));
--- a/src/read/house.cpp
+++ b/src/read/house.cpp
@@ -42,14 +42,16 @@
   return int(std::max(-1.0, n));
 }
 
-void named(std::unordered_map<std::string, int>& numbers, std::vector<std::string>& names, const std::string& name) {
+void named(std::unordered_map<std::string, int>& numbers, std::vector<std::string>& names,
+           const std::string& name) {
   if (!numbers.emplace(name, int(names.size())).second) wrong("Name " + name + " stands twice");
   names.push_back(name);
 }
 
 template <typename Row>
-void renumber(std::unordered_map<std::string, int>& numbers, std::vector<std::string>& names, std::vector<Row>& rows,
-              const std::vector<std::string>& names_now, const std::vector<Row>& rows_now) {
+void renumber(std::unordered_map<std::string, int>& numbers, std::vector<std::string>& names,
+              std::vector<Row>& rows, const std::vector<std::string>& names_now,
+              const std::vector<Row>& rows_now) {
   const auto read = std::exchange(names, names_now);
   const auto rows_read = std::exchange(rows, rows_now);
   for (std::size_t i = 0; i < read.size(); ++i) {
--- a/src/read/house.h
+++ b/src/read/house.h
@@ -14,7 +14,8 @@
 struct House {
   Terms terms;
   std::unordered_map<std::string, int> schemes, tenants;
-  std::vector<std::string> scheme_names, tenant_names;  // by number, also of those that vanished since the start
+  std::vector<std::string> scheme_names,
+      tenant_names;                  // by number, also of those that vanished since the start
   std::vector<std::string> figures;  // of a load report, in order
   micros dial_limit = 0;             // how long a connection may take to come up
   micros keep_idle = 0;              // servers close connections that idle for so long
@@ -23,9 +24,9 @@
 // Throws malformed, naming the faulty key.
 House house(const value& settings);
 
-// Terms read later, in the numbers of those in force: a name keeps its number as long as the process lives, a new one
-// gets the next, and the row of one that vanished stays for the txns under way. Throws malformed where there are too
-// many names.
+// Terms read later, in the numbers of those in force: a name keeps its number as long as the process lives, a
+// new one gets the next, and the row of one that vanished stays for the txns under way. Throws malformed
+// where there are too many names.
 House renumbered(House next, const House& now);
 constexpr std::size_t most_names = 256;
 
--- a/src/records/facts.cpp
+++ b/src/records/facts.cpp
@@ -88,7 +88,10 @@
     Line l;
     l.add(fmt::format("{{\"fact\":\"{}\",\"node\":", fact));
     quote(l.text, node);
-    l.put("start", std::int64_t(start)).put("n", std::int64_t(0)).put("steady", now()).put("wall", wall_now());
+    l.put("start", std::int64_t(start))
+        .put("n", std::int64_t(0))
+        .put("steady", now())
+        .put("wall", wall_now());
     return l;
   };
   writer_ = std::make_unique<Writer>(
@@ -141,7 +144,8 @@
   put(l.put("text", why));
 }
 
-void Facts::listed(const std::string& server, const std::string& zone, const char* state, std::int64_t version) {
+void Facts::listed(const std::string& server, const std::string& zone, const char* state,
+                   std::int64_t version) {
   if (!on()) return;
   Line l = begin("listed");
   put(l.put("server", server).put("text", zone).put("how", state).put("version", version));
@@ -198,7 +202,9 @@
 void Facts::configured(const std::string& hash, int version, const std::string& faults) {
   if (!on()) return;
   Line l = begin("configured");
-  put(l.put("how", faults.empty() ? "accepted" : "refused").put("text", faults.empty() ? hash : faults).put("version", std::int64_t(version)));
+  put(l.put("how", faults.empty() ? "accepted" : "refused")
+          .put("text", faults.empty() ? hash : faults)
+          .put("version", std::int64_t(version)));
 }
 
 std::optional<Fact> read_fact(std::string_view line) {
--- a/src/records/records.h
+++ b/src/records/records.h
@@ -1,5 +1,5 @@
-// Records: facts about what a node did, one JSON object a line, written by a thread of their own so that no txn ever waits
-// for a disk. Read back by read_fact(). Schema and use: docs/records.md.
+// Records: facts about what a node did, one JSON object a line, written by a thread of their own so that no
+// txn ever waits for a disk. Read back by read_fact(). Schema and use: docs/records.md.
 #pragma once
 
 #include <condition_variable>
@@ -21,22 +21,23 @@
 
 // Where and how much is kept.
 struct Keeping {
-  std::string path;  // of the file that is written; older ones are path.1, path.2 and so on
+  std::string path;                    // of the file that is written; older ones are path.1, path.2 and so on
   std::size_t rotate_at = 64UL << 20;  // bytes
   int keep = 8;                        // older files
   std::size_t queue = 65536;           // lines that wait for the disk at the most; further ones are dropped
   micros flush = 200'000;              // between writes
 };
 
-// Takes lines and writes them behind the caller's back. What can't be queued or written is dropped and counted,
-// and a line says so once the disk takes lines again.
+// Takes lines and writes them behind the caller's back. What can't be queued or written is dropped and
+// counted, and a line says so once the disk takes lines again.
 class Writer {
  public:
   using told = std::function<void(const std::string&)>;  // trouble with the disk, and its end
-  // `head`: the line that each file begins with, by the file's number since this start; `lost`: the line for so many
-  // dropped. All three are called from the thread, which may outlive the writer: they hold what they need.
-  Writer(Keeping keeping, std::function<std::string(int file)> head, std::function<std::string(std::uint64_t)> lost,
-         told trouble);
+  // `head`: the line that each file begins with, by the file's number since this start; `lost`: the line for
+  // so many dropped. All three are called from the thread, which may outlive the writer: they hold what they
+  // need.
+  Writer(Keeping keeping, std::function<std::string(int file)> head,
+         std::function<std::string(std::uint64_t)> lost, told trouble);
   ~Writer();  // writes what waits, for half a second at the most
   Writer(const Writer&) = delete;
   Writer& operator=(const Writer&) = delete;
--- a/src/records/writer.cpp
+++ b/src/records/writer.cpp
@@ -86,7 +86,8 @@
 
   // The file may have been taken away, or its disk.
   bool still_there() const {
-    struct stat here {}, named {};
+    struct stat here {
+    }, named{};
     return ::fstat(file, &here) == 0 && ::stat(keeping.path.c_str(), &named) == 0 &&
            here.st_ino == named.st_ino && here.st_dev == named.st_dev;
   }
--- a/src/rehearse/daemon.cpp
+++ b/src/rehearse/daemon.cpp
@@ -107,7 +107,7 @@
     for (;;) {
       const auto n = pipe_.read_some(asio::buffer(buffer_), error);
       if (error || n == 0) break;
-      if (log_ >= 0 && kept_ < most_log && ::write(log_, buffer_.data(), n) > 0) kept_ += n;
+      if (log_ >= 0 && kept_<most_log&& ::write(log_, buffer_.data(), n)> 0) kept_ += n;
     }
     pipe_.close(error);
   }
--- a/src/rehearse/daemon.h
+++ b/src/rehearse/daemon.h
@@ -16,8 +16,8 @@
   struct Start {
     std::vector<std::string> command;
     std::vector<std::pair<std::string, std::string>> environment;  // beside the kit's own
-    std::string log;  // a file; appended to
-    int sockets = 1024, memory_mb = 0;  // 0: no limit
+    std::string log;                                               // a file; appended to
+    int sockets = 1024, memory_mb = 0;                             // 0: no limit
   };
   explicit Daemon(asio::io_context& io) : io_(io), pipe_(io) {}
   ~Daemon();
--- a/src/rehearse/fleet_plan.h
+++ b/src/rehearse/fleet_plan.h
@@ -1,5 +1,5 @@
-// A plan for a fleet: so many voters and nodes, callers on registers, what breaks between them and when, and what is expected.
-// A plan file with [fleet] is one of these. Keys: docs/rehearse.md.
+// A plan for a fleet: so many voters and nodes, callers on registers, what breaks between them and when, and
+// what is expected. A plan file with [fleet] is one of these. Keys: docs/rehearse.md.
 #pragma once
 
 #include <string>
@@ -11,9 +11,22 @@
 namespace robinpin::rehearse {
 
 enum class breach {
-  cut, deaf, mute, refused, slow, dribble, reset, late, twice,  // on the ways of some nodes to all others
-  kill, stop, disk_full, sync_fails, clock, wall_jump,          // at some nodes
-  replace                                                       // an operator's order while it all goes on
+  cut,
+  deaf,
+  mute,
+  refused,
+  slow,
+  dribble,
+  reset,
+  late,
+  twice,  // on the ways of some nodes to all others
+  kill,
+  stop,
+  disk_full,
+  sync_fails,
+  clock,
+  wall_jump,  // at some nodes
+  replace     // an operator's order while it all goes on
 };
 const char* word(breach b);
 
@@ -33,14 +46,14 @@
   micros length = 12'000'000;
   int voters = 3, nodes = 5, spares = 0;  // spares: nodes beyond the voters that have a store
   int callers = 4, registers = 3;
-  micros beat = 100'000, pace = 15'000;   // between a caller's calls
+  micros beat = 100'000, pace = 15'000;  // between a caller's calls
   std::vector<Breach> breaches;
   int drawn = 0;  // further ones, of all kinds, by the seed
   struct {
-    config::Told<int> written;               // at least
-    config::Told<micros> without_write;      // the longest time, at most
-    config::Told<micros> returns;            // all members heard again so soon after the last breach, at most
-    config::Told<bool> all_vote;             // at the end
+    config::Told<int> written;           // at least
+    config::Told<micros> without_write;  // the longest time, at most
+    config::Told<micros> returns;        // all members heard again so soon after the last breach, at most
+    config::Told<bool> all_vote;         // at the end
   } expect;
 };
 
--- a/src/rehearse/fleet_stage.cpp
+++ b/src/rehearse/fleet_stage.cpp
@@ -74,16 +74,19 @@
   FleetStage(const FleetPlan& plan, const FleetSetup& setup)
       : plan_(plan), setup_(setup), chance_(setup.seed, "fleet"), ways_(io_), held_(io_) {
     draw_addresses();
-    // A folder that was used before must not bring its stores along: their registers have a past that no caller saw.
+    // A folder that was used before must not bring its stores along: their registers have a past that no
+    // caller saw.
     for (const auto& old : std::filesystem::directory_iterator(setup_.out))
-      if (old.path().filename().string().find(".store") != std::string::npos) std::filesystem::remove(old.path());
+      if (old.path().filename().string().find(".store") != std::string::npos)
+        std::filesystem::remove(old.path());
     for (int i = 0; i < plan_.nodes; ++i) {
       auto n = std::make_unique<Node>();
       n->name = fmt::format("n{}", i + 1);
       n->stores = i < plan_.voters + plan_.spares;
       n->listens = {address(i + 2), 7100};
       n->daemon = std::make_unique<Daemon>(io_);
-      if (!setup_.misled.empty()) n->misled = std::make_unique<Misled>(fmt::format("{}/{}.mischief", setup_.out, n->name));
+      if (!setup_.misled.empty())
+        n->misled = std::make_unique<Misled>(fmt::format("{}/{}.mischief", setup_.out, n->name));
       nodes_.push_back(std::move(n));
     }
     for (int i = 0; i < plan_.nodes; ++i)
@@ -104,7 +107,8 @@
       last_ = std::max(last_, b.from + b.span);
       ++breaking_, spawn(befall(b));
     }
-    until([&] { return now() >= begin_ + plan_.length && breaking_ == 0; }, std::chrono::microseconds(plan_.length) + 20s);
+    until([&] { return now() >= begin_ + plan_.length && breaking_ == 0; },
+          std::chrono::microseconds(plan_.length) + 20s);
     ways_.heal();
     healed_ = now();
     for (std::size_t i = 0; i < nodes_.size(); ++i)
@@ -131,7 +135,9 @@
     bool meant = true;  // to be running, as far as the plan goes
   };
 
-  micros now() const { return std::chrono::duration_cast<std::chrono::microseconds>(steady::now() - start_).count(); }
+  micros now() const {
+    return std::chrono::duration_cast<std::chrono::microseconds>(steady::now() - start_).count();
+  }
 
   void say(std::string what) { out_.happened.emplace_back(now() - begin_, std::move(what)); }
 
@@ -163,7 +169,8 @@
     return condition();
   }
 
-  // A part of the loopback network of this play's own; held by a listener, so that plays side by side do not meet.
+  // A part of the loopback network of this play's own; held by a listener, so that plays side by side do not
+  // meet.
   void draw_addresses() {
     model::Chance places(setup_.seed + std::uint64_t(::getpid()) * 7919, "addresses");
     for (int tries = 0; tries < 1000; ++tries) {
@@ -178,12 +185,15 @@
     throw std::runtime_error("no free part of the loopback network was drawn in 1,000 tries");
   }
   asio::ip::address address(int last) const { return asio::ip::make_address(net_ + std::to_string(last)); }
-  static std::string text_of(const tcp::endpoint& e) { return fmt::format("{}:{}", e.address().to_string(), e.port()); }
+  static std::string text_of(const tcp::endpoint& e) {
+    return fmt::format("{}:{}", e.address().to_string(), e.port());
+  }
   std::string store_of(const Node& n) const { return fmt::format("{}/{}.store", setup_.out, n.name); }
 
   void start(std::size_t i) {
     Node& n = *nodes_[i];
-    const std::string terms = fmt::format("{}/{}.json", setup_.out, n.name), file = fmt::format("{}/{}.toml", setup_.out, n.name);
+    const std::string terms = fmt::format("{}/{}.json", setup_.out, n.name),
+                      file = fmt::format("{}/{}.toml", setup_.out, n.name);
     const auto own = address(int(i) + 2).to_string();
     std::ofstream(terms) << fmt::format(
         R"({{"name":"{}","listen":"{}:7200","control":"{}:7300","discovery":"{}:1","seed":"8c","settings":{{"Schemes":[{{"Name":"view","SlaTime":500,"Expiry":1200}}],)"
@@ -192,11 +202,13 @@
     std::string members;
     for (std::size_t j = 0; j < nodes_.size(); ++j)
       if (nodes_[j]->stores)
-        members += fmt::format("[[fleet.member]]\nname = \"{}\"\naddress = \"{}\"\nvoter = {}\n", nodes_[j]->name,
-                               text_of(i == j ? n.listens : n.finds[int(j)]), int(j) < plan_.voters);
-    std::ofstream(file) << fmt::format("[node]\nterms = \"{}.json\"\n[fleet]\nname = \"{}\"\nlisten = \"{}\"\nbeat = \"{}us\"\n{}{}", n.name,
-                                       fleet_name, text_of(n.listens), plan_.beat,
-                                       n.stores ? fmt::format("store = \"{}\"\n", store_of(n)) : "", members);
+        members +=
+            fmt::format("[[fleet.member]]\nname = \"{}\"\naddress = \"{}\"\nvoter = {}\n", nodes_[j]->name,
+                        text_of(i == j ? n.listens : n.finds[int(j)]), int(j) < plan_.voters);
+    std::ofstream(file) << fmt::format(
+        "[node]\nterms = \"{}.json\"\n[fleet]\nname = \"{}\"\nlisten = \"{}\"\nbeat = \"{}us\"\n{}{}", n.name,
+        fleet_name, text_of(n.listens), plan_.beat,
+        n.stores ? fmt::format("store = \"{}\"\n", store_of(n)) : "", members);
     Daemon::Start how;
     how.command = {setup_.daemon, "serve", "--config", file};
     how.environment = {{"EDGE_CONFIG", terms}};
@@ -244,7 +256,8 @@
     }(*this, done));
     if (!until([&] { return founded_; }, ready_limit))
       throw std::runtime_error(fmt::format("the fleet was not founded in 20 s{}; its logs are in {}",
-                                           out_.void_because.empty() ? "" : ": " + out_.void_because, setup_.out));
+                                           out_.void_because.empty() ? "" : ": " + out_.void_because,
+                                           setup_.out));
   }
 
   awaitable<void> call_on(int caller) {
@@ -258,8 +271,10 @@
       d.expected = known[d.where];
       d.text = d.what == Deed::kind::write ? fmt::format("{}-{}", caller, n) : "";
       co_await deed(draw.one_of(nodes_.size()), d);
-      if (d.how == Deed::end::done && d.what == Deed::kind::write) known[d.where] = d.expected + 1;
-      else if (d.how == Deed::end::done || d.how == Deed::end::refused) known[d.where] = d.version;
+      if (d.how == Deed::end::done && d.what == Deed::kind::write)
+        known[d.where] = d.expected + 1;
+      else if (d.how == Deed::end::done || d.how == Deed::end::refused)
+        known[d.where] = d.version;
       co_await sleep(micros(double(plan_.pace) * (0.5 + double(draw.one_of(1000)) / 1000)));
     }
     --calling_;
@@ -289,8 +304,10 @@
         d.text = read::text(told, "text", "");
       }
     }
-    if (d.how == Deed::end::not_done && !writes) ++out_.not_done;
-    else out_.deeds.push_back(d);
+    if (d.how == Deed::end::not_done && !writes)
+      ++out_.not_done;
+    else
+      out_.deeds.push_back(d);
   }
 
   // ---- what breaks
@@ -309,8 +326,10 @@
   }
 
   void draw_breaches(std::vector<Breach>& all) {
-    constexpr breach kinds[] = {breach::cut, breach::deaf, breach::mute, breach::refused, breach::slow, breach::dribble, breach::reset,
-                                breach::late, breach::twice, breach::kill, breach::stop, breach::clock, breach::wall_jump};
+    constexpr breach kinds[] = {breach::cut,      breach::deaf,    breach::mute,  breach::refused,
+                                breach::slow,     breach::dribble, breach::reset, breach::late,
+                                breach::twice,    breach::kill,    breach::stop,  breach::clock,
+                                breach::wall_jump};
     for (int i = 0; i < plan_.drawn; ++i) {
       Breach b;
       b.what = kinds[chance_.one_of(std::size(kinds))];
@@ -318,7 +337,8 @@
       b.from = micros(chance_.one_of(std::size_t(std::max<micros>(1, plan_.length - b.span))));
       b.of_voters = chance_.one_of(4) > 0;
       b.count = 1 + int(chance_.one_of(b.of_voters ? 2 : 3));
-      if (!setup_.misled.empty() || (b.what != breach::clock && b.what != breach::wall_jump)) all.push_back(b);
+      if (!setup_.misled.empty() || (b.what != breach::clock && b.what != breach::wall_jump))
+        all.push_back(b);
     }
   }
 
@@ -342,14 +362,20 @@
     const std::string what = fmt::format("{}{}", word(b.what), names);
     say(what);
     bool met = false;
-    if (b.what < breach::kill) met = co_await break_ways(b, who, draw);
-    else if (b.what == breach::kill) met = co_await killed(b, who);
-    else if (b.what == breach::stop) met = co_await stopped(b, who);
-    else if (b.what == breach::replace) met = co_await replaced(b, who);
-    else met = co_await misled(b, who);
+    if (b.what < breach::kill)
+      met = co_await break_ways(b, who, draw);
+    else if (b.what == breach::kill)
+      met = co_await killed(b, who);
+    else if (b.what == breach::stop)
+      met = co_await stopped(b, who);
+    else if (b.what == breach::replace)
+      met = co_await replaced(b, who);
+    else
+      met = co_await misled(b, who);
     // A drawn one may meet nothing; the plan's own has to.
     const bool own = b.at.said();
-    if (!met && own && out_.void_because.empty()) out_.void_because = fmt::format("{} met nothing: the play was not what it was for", what);
+    if (!met && own && out_.void_because.empty())
+      out_.void_because = fmt::format("{} met nothing: the play was not what it was for", what);
     say(what + (met ? " is over" : " is over, and met nothing"));
     --breaking_;
   }
@@ -359,19 +385,37 @@
     each_way(who, true, true, [&](Way& w) { before += w.hurt; });
     const double size = b.size;
     switch (b.what) {
-      case breach::cut: each_way(who, true, true, [](Way& w) { w.lost = true; }); break;
-      case breach::deaf: each_way(who, false, true, [](Way& w) { w.lost = true; }); break;
-      case breach::mute: each_way(who, true, false, [](Way& w) { w.lost = true; }); break;
+      case breach::cut:
+        each_way(who, true, true, [](Way& w) { w.lost = true; });
+        break;
+      case breach::deaf:
+        each_way(who, false, true, [](Way& w) { w.lost = true; });
+        break;
+      case breach::mute:
+        each_way(who, true, false, [](Way& w) { w.lost = true; });
+        break;
       case breach::refused:
         each_way(who, true, true, [](Way& w) { w.refused = true; });
         for (const int i : who)
           for (int j = 0; j < plan_.nodes; ++j) ways_.drop(i, j), ways_.drop(j, i);
         break;
-      case breach::slow: each_way(who, true, true, [&](Way& w) { w.delay = micros((size > 0 ? size : 60) * 1000); }); break;
-      case breach::late: each_way(who, true, false, [&](Way& w) { w.delay = micros((size > 0 ? size : 1500) * 1000); }); break;
-      case breach::dribble: each_way(who, true, true, [&](Way& w) { w.dribble = std::size_t(size > 0 ? size : 40); }); break;
-      case breach::reset: each_way(who, true, true, [&](Way& w) { w.reset_after = size > 0 ? (long long)(size) : (long long)(draw.one_of(1500)); }); break;
-      default: each_way(who, true, true, [](Way& w) { w.twice = true; }); break;
+      case breach::slow:
+        each_way(who, true, true, [&](Way& w) { w.delay = micros((size > 0 ? size : 60) * 1000); });
+        break;
+      case breach::late:
+        each_way(who, true, false, [&](Way& w) { w.delay = micros((size > 0 ? size : 1500) * 1000); });
+        break;
+      case breach::dribble:
+        each_way(who, true, true, [&](Way& w) { w.dribble = std::size_t(size > 0 ? size : 40); });
+        break;
+      case breach::reset:
+        each_way(who, true, true, [&](Way& w) {
+          w.reset_after = size > 0 ? (long long)(size) : (long long)(draw.one_of(1500));
+        });
+        break;
+      default:
+        each_way(who, true, true, [](Way& w) { w.twice = true; });
+        break;
     }
     co_await sleep(b.span);
     each_way(who, true, true, [&](Way& w) {
@@ -420,7 +464,8 @@
     }
   }
 
-  // A voter that lost its disk, or came up on an older one, has no vote until an operator lets it in as its own successor.
+  // A voter that lost its disk, or came up on an older one, has no vote until an operator lets it in as its
+  // own successor.
   awaitable<bool> let_in_again(const Breach& b, const std::vector<int>& who) {
     for (const int i : who) {
       const std::string expected = b.disk == "lost" ? "no seat" : "older copy";
@@ -428,7 +473,9 @@
       for (int k = 0; k < 200 && vote != expected; ++k) {
         const auto d = co_await status(std::size_t(i));
         vote = d ? read::text(*d, "vote", "") : "";
-        if (vote == "votes") out_.broken.push_back(fmt::format("{} votes on a {} store", nodes_[std::size_t(i)]->name, b.disk == "lost" ? "fresh" : "older"));
+        if (vote == "votes")
+          out_.broken.push_back(fmt::format("{} votes on a {} store", nodes_[std::size_t(i)]->name,
+                                            b.disk == "lost" ? "fresh" : "older"));
         if (vote == "votes") co_return true;
         co_await sleep(25'000);
       }
@@ -436,12 +483,15 @@
       say(fmt::format("{} came up: {}", nodes_[std::size_t(i)]->name, vote));
       if (b.disk == "older") {
         nodes_[std::size_t(i)]->daemon->kill();
-        for (const char* part : {"", "-wal", "-shm"}) std::filesystem::remove(store_of(*nodes_[std::size_t(i)]) + part);
+        for (const char* part : {"", "-wal", "-shm"})
+          std::filesystem::remove(store_of(*nodes_[std::size_t(i)]) + part);
         start(std::size_t(i));
       }
-      // Its successor may not have been heard of yet, and the order be for the one before: it is asked until it votes.
+      // Its successor may not have been heard of yet, and the order be for the one before: it is asked until
+      // it votes.
       for (int k = 0; k < 40 && vote != "votes"; ++k) {
-        if (!co_await change(std::size_t(i), nodes_[std::size_t(i)]->name, nodes_[std::size_t(i)]->name)) co_return false;
+        if (!co_await change(std::size_t(i), nodes_[std::size_t(i)]->name, nodes_[std::size_t(i)]->name))
+          co_return false;
         co_await sleep(100'000);
         const auto d = co_await status(std::size_t(i));
         vote = d ? read::text(*d, "vote", "") : "";
@@ -454,14 +504,19 @@
   awaitable<bool> change(std::size_t not_at, std::string remove, std::string add) {
     for (int k = 0; k < 100; ++k) {
       const std::size_t at = (not_at + 1 + std::size_t(k)) % nodes_.size();
-      const peer::Answer a = co_await order(at, Out().put("do", "change").put("remove", remove).put("add", add).put("within_ms", 3000).end(), 4s);
+      const peer::Answer a = co_await order(
+          at, Out().put("do", "change").put("remove", remove).put("add", add).put("within_ms", 3000).end(),
+          4s);
       if (a.how == peer::came::answered && a.status == 200) {
         say(fmt::format("voters changed: {} for {}", add, remove));
         co_return true;
       }
       // It may have been done all the same; then the next try says so.
-      if (a.how == peer::came::answered && remove != add && a.body.find("is no voter") != a.body.npos) co_return true;
-      if (a.how == peer::came::answered && remove == add && a.body.find("has the store that votes already") != a.body.npos) co_return true;
+      if (a.how == peer::came::answered && remove != add && a.body.find("is no voter") != a.body.npos)
+        co_return true;
+      if (a.how == peer::came::answered && remove == add &&
+          a.body.find("has the store that votes already") != a.body.npos)
+        co_return true;
       co_await sleep(100'000);
     }
     co_return false;
@@ -486,7 +541,8 @@
     for (const int i : who) {
       Node& n = *nodes_[std::size_t(i)];
       if (!n.misled) {
-        out_.void_because = "clocks and disks are broken by a library of the kit, and none was named (--misled)";
+        out_.void_because =
+            "clocks and disks are broken by a library of the kit, and none was named (--misled)";
         co_return false;
       }
       Mischief& m = *n.misled->get();
@@ -507,7 +563,8 @@
       co_await sleep(300'000);
       const auto d = co_await status(std::size_t(i));
       met = (d && read::text(*d, "vote", "") == "store failed") || met;
-      if (d && read::text(*d, "vote", "") == "votes") out_.broken.push_back(n.name + " votes after its store failed");
+      if (d && read::text(*d, "vote", "") == "votes")
+        out_.broken.push_back(n.name + " votes after its store failed");
       n.daemon->kill();
       start(std::size_t(i));
     }
@@ -527,9 +584,11 @@
           all = d && read::flag(*d, "majority") && !read::flag(*d, "changing");
           if (!all || i > 0) continue;
           std::size_t heard = 0;
-          read::each(read::need(*d, "members"), "members", [&](const read::value& m) { heard += read::text(m, "is", "") == "heard" ? 1 : 0; });
+          read::each(read::need(*d, "members"), "members",
+                     [&](const read::value& m) { heard += read::text(m, "is", "") == "heard" ? 1 : 0; });
           all = heard == s.nodes_.size();
-          read::each(read::need(*d, "voters"), "voters", [&](const read::value& v) { all = all && read::text(v, "is", "") == "heard"; });
+          read::each(read::need(*d, "voters"), "voters",
+                     [&](const read::value& v) { all = all && read::text(v, "is", "") == "heard"; });
         }
         if (all) break;
         co_await s.sleep(20'000);
@@ -537,8 +596,10 @@
       done = true;
       --s.breaking_;
     }(*this, over));
-    if (until([&] { return over; }, end_limit)) out_.returned = now() - healed_;
-    else if (out_.void_because.empty()) out_.broken.push_back("the fleet did not come back in 20 s after the last fault");
+    if (until([&] { return over; }, end_limit))
+      out_.returned = now() - healed_;
+    else if (out_.void_because.empty())
+      out_.broken.push_back("the fleet did not come back in 20 s after the last fault");
     if (!plan_.expect.all_vote.value) return;
     bool asked = false;
     std::string who;
@@ -546,16 +607,19 @@
       const auto d = co_await s.status(0);
       int votes = 0;
       if (d) votes = int(read::need(*d, "voters").Size());
-      if (votes != s.plan_.voters) not_voting = fmt::format("{} voters at the end, not {}", votes, s.plan_.voters);
+      if (votes != s.plan_.voters)
+        not_voting = fmt::format("{} voters at the end, not {}", votes, s.plan_.voters);
       for (std::size_t i = 0; i < s.nodes_.size(); ++i) {
         if (!s.nodes_[i]->stores) continue;
         const auto own = co_await s.status(i);
         const std::string vote = own ? read::text(*own, "vote", "") : "silent";
-        if (vote != "votes" && vote != "no seat") not_voting = fmt::format("{} at the end: {}", s.nodes_[i]->name, vote);
+        if (vote != "votes" && vote != "no seat")
+          not_voting = fmt::format("{} at the end: {}", s.nodes_[i]->name, vote);
       }
       done = true;
     }(*this, asked, who));
-    if (!until([&] { return asked; }, 10s) || !who.empty()) out_.broken.push_back(who.empty() ? "nobody tells who votes" : who);
+    if (!until([&] { return asked; }, 10s) || !who.empty())
+      out_.broken.push_back(who.empty() ? "nobody tells who votes" : who);
   }
 
   // Whatever was said of a write, all nodes read the same now; it is held against the history as all else.
@@ -571,16 +635,24 @@
         }
       over = true;
     }(*this, done));
-    if (!until([&] { return done; }, 15s) && out_.void_because.empty()) out_.broken.push_back("registers can't be read at the end");
+    if (!until([&] { return done; }, 15s) && out_.void_because.empty())
+      out_.broken.push_back("registers can't be read at the end");
   }
 
   // A node of a fleet that is told to end, with calls of others on its hands, ends like any other.
   void end_as_told() {
     for (auto& n : nodes_) n->daemon->tell(SIGTERM);
-    until([&] { return std::none_of(nodes_.begin(), nodes_.end(), [](auto& n) { return n->daemon->running(); }); }, 15s);
+    until(
+        [&] {
+          return std::none_of(nodes_.begin(), nodes_.end(), [](auto& n) { return n->daemon->running(); });
+        },
+        15s);
     for (auto& n : nodes_)
       if (n->daemon->running() || n->daemon->ended().value_or(-1) != 0)
-        out_.broken.push_back(fmt::format("{} was told to end: {}", n->name, n->daemon->running() ? "it runs on" : fmt::format("exit code {}", n->daemon->ended().value_or(-1))));
+        out_.broken.push_back(
+            fmt::format("{} was told to end: {}", n->name,
+                        n->daemon->running() ? "it runs on"
+                                             : fmt::format("exit code {}", n->daemon->ended().value_or(-1))));
   }
 
   void judge() {
@@ -598,26 +670,36 @@
     out_.written = int(writes.size());
     out_.read = int(reads.size());
     std::sort(stood.begin(), stood.end());
-    for (std::size_t i = 1; i < stood.size(); ++i) out_.without_write = std::max(out_.without_write, stood[i] - stood[i - 1]);
+    for (std::size_t i = 1; i < stood.size(); ++i)
+      out_.without_write = std::max(out_.without_write, stood[i] - stood[i - 1]);
     const auto at = [](std::vector<double>& of, double share) {
       std::sort(of.begin(), of.end());
       return of.empty() ? 0.0 : of[std::min(of.size() - 1, std::size_t(share * double(of.size())))];
     };
-    out_.write_p50 = at(writes, 0.5), out_.write_p99 = at(writes, 0.99), out_.read_p50 = at(reads, 0.5), out_.read_p99 = at(reads, 0.99);
+    out_.write_p50 = at(writes, 0.5), out_.write_p99 = at(writes, 0.99), out_.read_p50 = at(reads, 0.5),
+    out_.read_p99 = at(reads, 0.99);
     out_.explained = explain_history(out_.deeds);
-    if (out_.explained.given_up && out_.void_because.empty()) out_.void_because = "the history was too long to be explained or refuted";
+    if (out_.explained.given_up && out_.void_because.empty())
+      out_.void_because = "the history was too long to be explained or refuted";
     if (!out_.explained.good) {
       std::string story = fmt::format("the history of {} can't be explained:", out_.explained.where);
       for (const Deed& d : out_.explained.prefix) story += "\n    " + told(d);
       out_.broken.push_back(story);
     }
     const auto& e = plan_.expect;
-    if (e.written.said() && out_.written < e.written.value) out_.broken.push_back(fmt::format("{} writes stood, {} were expected at least", out_.written, e.written.value));
+    if (e.written.said() && out_.written < e.written.value)
+      out_.broken.push_back(
+          fmt::format("{} writes stood, {} were expected at least", out_.written, e.written.value));
     if (e.without_write.said() && out_.without_write > e.without_write.value)
-      out_.broken.push_back(fmt::format("no write stood for {}, {} were expected at most", config::duration(out_.without_write / 1000 * 1000), config::duration(e.without_write.value)));
+      out_.broken.push_back(fmt::format("no write stood for {}, {} were expected at most",
+                                        config::duration(out_.without_write / 1000 * 1000),
+                                        config::duration(e.without_write.value)));
     if (e.returns.said() && out_.returned > e.returns.value)
-      out_.broken.push_back(fmt::format("the fleet was back after {}, {} were expected at most", config::duration(out_.returned / 1000 * 1000), config::duration(e.returns.value)));
-    if (out_.written == 0 && out_.void_because.empty()) out_.void_because = "no write stood: there is nothing to judge";
+      out_.broken.push_back(fmt::format("the fleet was back after {}, {} were expected at most",
+                                        config::duration(out_.returned / 1000 * 1000),
+                                        config::duration(e.returns.value)));
+    if (out_.written == 0 && out_.void_because.empty())
+      out_.void_because = "no write stood: there is nothing to judge";
   }
 
   const FleetPlan& plan_;
@@ -646,26 +728,52 @@
 }
 
 std::string summary(const FleetPlan& plan, const FleetOutcome& o, std::uint64_t seed) {
-  std::string out = fmt::format("{} (seed {}): {}\n", plan.name, seed, !o.void_because.empty() ? "VOID: " + o.void_because : o.good() ? "kept" : "BROKEN");
+  std::string out = fmt::format("{} (seed {}): {}\n", plan.name, seed,
+                                !o.void_because.empty() ? "VOID: " + o.void_because
+                                : o.good()              ? "kept"
+                                                        : "BROKEN");
   for (const auto& [t, what] : o.happened) out += fmt::format("  {:>7.2f} s  {}\n", double(t) / 1e6, what);
-  out += fmt::format("  {} writes stood, {} reads, {} refused, {} unknown, {} not done; longest without a write {:.2f} s; back after {:.2f} s\n", o.written,
-                     o.read, o.refused, o.unknown, o.not_done, double(o.without_write) / 1e6, double(o.returned) / 1e6);
-  out += fmt::format("  write p50 {:.1f} ms, p99 {:.1f}; read p50 {:.1f}, p99 {:.1f}; {} states looked at\n", o.write_p50, o.write_p99, o.read_p50, o.read_p99, o.explained.looked_at);
+  out += fmt::format(
+      "  {} writes stood, {} reads, {} refused, {} unknown, {} not done; longest without a write {:.2f} s; "
+      "back after {:.2f} s\n",
+      o.written, o.read, o.refused, o.unknown, o.not_done, double(o.without_write) / 1e6,
+      double(o.returned) / 1e6);
+  out += fmt::format("  write p50 {:.1f} ms, p99 {:.1f}; read p50 {:.1f}, p99 {:.1f}; {} states looked at\n",
+                     o.write_p50, o.write_p99, o.read_p50, o.read_p99, o.explained.looked_at);
   for (const auto& b : o.broken) out += "  broken: " + b + "\n";
   return out;
 }
 
 std::string json(const FleetPlan& plan, const FleetOutcome& o, std::uint64_t seed) {
   Out out;
-  out.put("plan", plan.name).put("seed", seed).put("good", o.good()).put("void", o.void_because).put("written", o.written).put("read", o.read);
-  out.put("refused", o.refused).put("unknown", o.unknown).put("not_done", o.not_done).put("without_write_us", std::int64_t(o.without_write));
-  out.put("returned_us", std::int64_t(o.returned)).put("write_p50_ms", o.write_p50).put("write_p99_ms", o.write_p99);
+  out.put("plan", plan.name)
+      .put("seed", seed)
+      .put("good", o.good())
+      .put("void", o.void_because)
+      .put("written", o.written)
+      .put("read", o.read);
+  out.put("refused", o.refused)
+      .put("unknown", o.unknown)
+      .put("not_done", o.not_done)
+      .put("without_write_us", std::int64_t(o.without_write));
+  out.put("returned_us", std::int64_t(o.returned))
+      .put("write_p50_ms", o.write_p50)
+      .put("write_p99_ms", o.write_p99);
   out.put("read_p50_ms", o.read_p50).put("read_p99_ms", o.read_p99).put("states", o.explained.looked_at);
   out.words("broken", o.broken);
-  out.list("happened", o.happened, [](Out& h, const auto& one) { h.put("at_us", std::int64_t(one.first)).put("what", one.second); });
+  out.list("happened", o.happened,
+           [](Out& h, const auto& one) { h.put("at_us", std::int64_t(one.first)).put("what", one.second); });
   out.list("deeds", o.deeds, [](Out& d, const Deed& one) {
-    d.put("caller", one.caller).put("at", one.at).put("where", one.where).put("what", one.what == Deed::kind::read ? "read" : "write").put("how", int(one.how));
-    d.put("expected", one.expected).put("text", one.text).put("version", one.version).put("called_us", std::int64_t(one.called)).put("answered_us", std::int64_t(one.answered));
+    d.put("caller", one.caller)
+        .put("at", one.at)
+        .put("where", one.where)
+        .put("what", one.what == Deed::kind::read ? "read" : "write")
+        .put("how", int(one.how));
+    d.put("expected", one.expected)
+        .put("text", one.text)
+        .put("version", one.version)
+        .put("called_us", std::int64_t(one.called))
+        .put("answered_us", std::int64_t(one.answered));
   });
   return out.end();
 }
--- a/src/rehearse/fleet_stage.h
+++ b/src/rehearse/fleet_stage.h
@@ -1,5 +1,5 @@
-// A fleet in trouble on real sockets: daemons as processes, the ways between them through relays of the kit, callers whose
-// history is held against what was promised.
+// A fleet in trouble on real sockets: daemons as processes, the ways between them through relays of the kit,
+// callers whose history is held against what was promised.
 #pragma once
 
 #include <functional>
@@ -12,7 +12,8 @@
 namespace robinpin::rehearse {
 
 struct FleetSetup {
-  std::string daemon, out, misled;  // VARIABLE=VALUE of a daemon whose clocks and disk are to be broken; empty: none is
+  std::string daemon, out,
+      misled;  // VARIABLE=VALUE of a daemon whose clocks and disk are to be broken; empty: none is
   std::uint64_t seed = 1;
 };
 
--- a/src/rehearse/history.h
+++ b/src/rehearse/history.h
@@ -1,5 +1,5 @@
-// What clients, boxes and the list saw, and nothing that a node says of itself; and the judge over it: the four rules
-// and the service score. Free of I/O and clocks.
+// What clients, boxes and the list saw, and nothing that a node says of itself; and the judge over it: the
+// four rules and the service score. Free of I/O and clocks.
 #pragma once
 
 #include <array>
@@ -13,7 +13,13 @@
 
 namespace robinpin::rehearse {
 
-enum class answer { none, settled, declined, failed, broken };  // broken: the connection ended without a whole answer
+enum class answer {
+  none,
+  settled,
+  declined,
+  failed,
+  broken
+};  // broken: the connection ended without a whole answer
 
 // One request to a node and what came of it: a client's try, or a box's call to the next tier.
 struct Try {
@@ -30,7 +36,7 @@
   bool spoilt = false;  // settled with what no box made for it
   struct Posting {
     int box = 0;
-    micros came = 0;  // its last byte
+    micros came = 0;               // its last byte
     micros begun = -1, over = -1;  // it ran, it was answered or turned away
     bool ran = false;
     bool gone = false;  // its connection ended before
--- a/src/rehearse/judge.cpp
+++ b/src/rehearse/judge.cpp
@@ -48,9 +48,12 @@
     drains();
     for (const Fall& f : h_.falls)
       if (f.told_share >= 2.0 / 3)
-        broken(4, fmt::format("{} fell over at {:.3f} s, cold: {:.0f}% of what it was sent came from nodes that had been "
-                              "told of its start",
-                              g_.boxes[std::size_t(f.box)], double(f.at) / 1e6, 100 * f.told_share));
+        broken(
+            4,
+            fmt::format(
+                "{} fell over at {:.3f} s, cold: {:.0f}% of what it was sent came from nodes that had been "
+                "told of its start",
+                g_.boxes[std::size_t(f.box)], double(f.at) / 1e6, 100 * f.told_share));
     served();
     std::sort(v_.latency.begin(), v_.latency.end());
     return std::move(v_);
@@ -86,7 +89,8 @@
     const SchemeFacts& s = scheme(t);
     const auto never_ran = [](const Try::Posting& p) { return p.over >= 0 && !p.ran; };
     if (t.how == answer::declined) {
-      const bool harmless = s.kind == repeats::repeatable || (s.kind == repeats::referenced && s.within == group::all);
+      const bool harmless =
+          s.kind == repeats::repeatable || (s.kind == repeats::referenced && s.within == group::all);
       const bool ran = std::any_of(t.postings.begin(), t.postings.end(),
                                    [&](const auto& p) { return p.ran || (p.over < 0 && !p.gone); });
       if (!harmless && ran) broken(2, fmt::format("declined, and it had run or might yet: {}", story(t, g_)));
@@ -118,7 +122,8 @@
         }
       }
     }
-    if (int(t.postings.size()) > g_.most_postings) broken(2, fmt::format("posted more often than allowed: {}", story(t, g_)));
+    if (int(t.postings.size()) > g_.most_postings)
+      broken(2, fmt::format("posted more often than allowed: {}", story(t, g_)));
   }
 
   // Rule 2, of a client's txn over all its tries: what has one effect at the most.
@@ -182,15 +187,18 @@
 
 std::string story(const Try& t, const Grounds& g) {
   const auto at = [](micros m) { return fmt::format("{:.3f} s", double(m) / 1e6); };
-  std::string told = fmt::format("{} ({}, txn {}) asked {} at {}, expiry {}", t.id, g.schemes[std::size_t(t.scheme)].name,
-                                 t.txn, g.nodes[std::size_t(t.node)], at(t.sent), at(t.expiry));
+  std::string told =
+      fmt::format("{} ({}, txn {}) asked {} at {}, expiry {}", t.id, g.schemes[std::size_t(t.scheme)].name,
+                  t.txn, g.nodes[std::size_t(t.node)], at(t.sent), at(t.expiry));
   for (const auto& p : t.postings) {
     told += fmt::format(", came to {} at {}", g.boxes[std::size_t(p.box)], at(p.came));
-    if (p.ran) told += fmt::format(" and ran{}", p.begun >= 0 ? fmt::format(" from {}", at(p.begun)) : std::string());
+    if (p.ran)
+      told += fmt::format(" and ran{}", p.begun >= 0 ? fmt::format(" from {}", at(p.begun)) : std::string());
     if (p.over >= 0) told += fmt::format(", {} at {}", p.ran ? "done" : "turned away", at(p.over));
     if (p.gone) told += ", its connection gone";
   }
-  told += fmt::format(", {}{}", word(t.how), t.answered >= 0 ? fmt::format(" at {}", at(t.answered)) : std::string());
+  told += fmt::format(", {}{}", word(t.how),
+                      t.answered >= 0 ? fmt::format(" at {}", at(t.answered)) : std::string());
   if (t.left) told += ", its client left";
   if (t.killed) told += ", its node ended";
   return told;
--- a/src/rehearse/linear.cpp
+++ b/src/rehearse/linear.cpp
@@ -48,7 +48,8 @@
     // Deeds are sorted by call: before the first that is left all are done, and long histories need few bits.
     std::size_t first = 0;
     while (first < done_.size() && done_[first]) ++first;
-    std::string k = std::to_string(first) + "." + std::to_string(s.version) + "." + std::to_string(s.writer) + ".";
+    std::string k =
+        std::to_string(first) + "." + std::to_string(s.version) + "." + std::to_string(s.writer) + ".";
     std::size_t last = done_.size();
     while (last > first && !done_[last - 1]) --last;
     for (std::size_t i = first; i < last; ++i) k += done_[i] ? '1' : '0';
@@ -74,7 +75,8 @@
     for (std::size_t i = 0; i < deeds_.size() && deeds_[i].called <= soonest; ++i) {
       if (done_[i] || !holds(deeds_[i], s)) continue;
       State then = s;
-      if (deeds_[i].what == kind::write && deeds_[i].how != end::refused) then = {deeds_[i].expected + 1, int(i)};
+      if (deeds_[i].what == kind::write && deeds_[i].how != end::refused)
+        then = {deeds_[i].expected + 1, int(i)};
       done_[i] = true;
       if (step(then)) return true;
       done_[i] = false;
@@ -106,22 +108,34 @@
 }  // namespace
 
 std::string told(const Deed& d) {
-  const auto span = fmt::format("{:>10.3f} to {}", double(d.called) / 1000, d.answered < 0 || d.how == end::unknown ? "?" : fmt::format("{:.3f} ms", double(d.answered) / 1000));
-  const auto stood = [&] { return d.version == 0 ? std::string("nothing") : fmt::format("version {} \"{}\"", d.version, d.text); };
-  if (d.what == kind::read) return fmt::format("{}  caller {} at n{} reads {}: {}", span, d.caller, d.at + 1, d.where, stood());
-  const char* how = d.how == end::done ? "done" : d.how == end::unknown ? "unknown" : d.how == end::refused ? "refused" : "not done";
+  const auto span = fmt::format(
+      "{:>10.3f} to {}", double(d.called) / 1000,
+      d.answered < 0 || d.how == end::unknown ? "?" : fmt::format("{:.3f} ms", double(d.answered) / 1000));
+  const auto stood = [&] {
+    return d.version == 0 ? std::string("nothing") : fmt::format("version {} \"{}\"", d.version, d.text);
+  };
+  if (d.what == kind::read)
+    return fmt::format("{}  caller {} at n{} reads {}: {}", span, d.caller, d.at + 1, d.where, stood());
+  const char* how = d.how == end::done      ? "done"
+                    : d.how == end::unknown ? "unknown"
+                    : d.how == end::refused ? "refused"
+                                            : "not done";
   return d.how == end::refused
-             ? fmt::format("{}  caller {} at n{} writes {} on version {}: refused, {} stands", span, d.caller, d.at + 1, d.where, d.expected, stood())
-             : fmt::format("{}  caller {} at n{} writes {} on version {}: \"{}\", {}", span, d.caller, d.at + 1, d.where, d.expected, d.text, how);
+             ? fmt::format("{}  caller {} at n{} writes {} on version {}: refused, {} stands", span, d.caller,
+                           d.at + 1, d.where, d.expected, stood())
+             : fmt::format("{}  caller {} at n{} writes {} on version {}: \"{}\", {}", span, d.caller,
+                           d.at + 1, d.where, d.expected, d.text, how);
 }
 
 Explained explain_history(const std::vector<Deed>& deeds, std::uint64_t most_states) {
   std::map<std::string, std::vector<Deed>> by_register;
   for (const Deed& d : deeds)
-    if (d.how != end::not_done) by_register[d.where].push_back(d);  // if it was done all the same, nothing explains what others saw
+    if (d.how != end::not_done)
+      by_register[d.where].push_back(d);  // if it was done all the same, nothing explains what others saw
   Explained e;
   for (auto& [where, all] : by_register) {
-    std::stable_sort(all.begin(), all.end(), [](const Deed& a, const Deed& b) { return a.called < b.called; });
+    std::stable_sort(all.begin(), all.end(),
+                     [](const Deed& a, const Deed& b) { return a.called < b.called; });
     const auto explains = [&](const std::vector<Deed>& some) {
       Search s(some, most_states);
       const bool good = s.run();
