--- a/src/rehearse/main.cpp
+++ b/src/rehearse/main.cpp
@@ -49,15 +49,16 @@
   constexpr int width = 30;
   const int done = std::clamp(int(p.part * width), 0, width);
   const double left = std::max(0.0, (1 - p.part) * double(plan.length) / 1e6);
-  complain(fmt::format("\r[{}{}] {:4.0f} s left, {:3.0f}% answered  {:<40.40}", std::string(std::size_t(done), '#'),
-                       std::string(std::size_t(width - done), '.'), left, 100 * p.service,
-                       fmt::format("{}", fmt::join(p.going_wrong, ", "))));
+  complain(fmt::format("\r[{}{}] {:4.0f} s left, {:3.0f}% answered  {:<40.40}",
+                       std::string(std::size_t(done), '#'), std::string(std::size_t(width - done), '.'), left,
+                       100 * p.service, fmt::format("{}", fmt::join(p.going_wrong, ", "))));
 }
 
 // One run, kept in its folder.
 std::optional<Outcome> run_once(const Plan& plan, const Setup& setup) {
   try {
-    Outcome o = play(plan, setup, [&](const Progress& p) { show(plan, p); }, [] { return interrupted != 0; });
+    Outcome o = play(
+        plan, setup, [&](const Progress& p) { show(plan, p); }, [] { return interrupted != 0; });
     if (::isatty(STDERR_FILENO) != 0) complain(fmt::format("\r{:90}\r", ""));
     std::ofstream(setup.out + "/report.json") << json(plan, o, setup.seed) << "\n";
     return o;
@@ -132,11 +133,13 @@
   ::sigaction(SIGTERM, &stop, nullptr);
 
   CLI::App app{
-      "robinpin-rehearse plays an afternoon against real nodes: stand-in boxes, list and clients on loopback, faults by a\n"
+      "robinpin-rehearse plays an afternoon against real nodes: stand-in boxes, list and clients on "
+      "loopback, faults by a\n"
       "plan, and a judge that goes by what clients and boxes saw."};
   app.require_subcommand(1);
   app.footer(
-      "Exit codes: 0 the plan's expectations hold; 1 a rule or an expectation is broken; 2 misuse or a faulty plan; 3 the\n"
+      "Exit codes: 0 the plan's expectations hold; 1 a rule or an expectation is broken; 2 misuse or a "
+      "faulty plan; 3 the\n"
       "run is void. Plans: plans/, their keys: docs/rehearse.md.");
 
   std::string file, out, daemon = beside(), by = "module";
@@ -148,23 +151,27 @@
       {"module", policy::module}, {"random", policy::random}, {"least", policy::least}};
   const auto common = [&](CLI::App* c) {
     c->add_option("plan", file, "the plan (TOML)")->required()->type_name("PLAN");
-    c->add_option("--set", set, "a key of the plan over what the file says, as load.rate=500")->type_name("KEY=VALUE");
+    c->add_option("--set", set, "a key of the plan over what the file says, as load.rate=500")
+        ->type_name("KEY=VALUE");
   };
   const auto playing = [&](CLI::App* c) {
     c->add_option("--daemon", daemon, "the node's program")->capture_default_str()->type_name("FILE");
     c->add_option("--policy", by, "who decides: the daemon's module, or a baseline of the kit's")
         ->check(CLI::IsMember({"module", "random", "least"}))
         ->capture_default_str();
-    c->add_option("--out", out, "folder for reports and the nodes' logs (default: a new one under /tmp)")->type_name("DIR");
+    c->add_option("--out", out, "folder for reports and the nodes' logs (default: a new one under /tmp)")
+        ->type_name("DIR");
   };
   auto* run = app.add_subcommand("run", "Play a plan and judge it.");
   common(run);
   playing(run);
-  run->add_option("--seed", seed, "what is drawn by chance: the same seed, the same afternoon")->capture_default_str();
+  run->add_option("--seed", seed, "what is drawn by chance: the same seed, the same afternoon")
+      ->capture_default_str();
   run->add_flag("--json", as_json, "print one JSON object");
   auto* check = app.add_subcommand("check", "Read a plan and tell every fault in it.");
   common(check);
-  auto* boxes = app.add_subcommand("boxes", "Start the plan's boxes alone, to poke at by hand, until interrupted.");
+  auto* boxes =
+      app.add_subcommand("boxes", "Start the plan's boxes alone, to poke at by hand, until interrupted.");
   common(boxes);
   auto* compare = app.add_subcommand("compare", "Put kept runs side by side, paired over their seeds.");
   compare->add_option("folders", folders, "of runs, as --out named them")->required()->type_name("DIR");
@@ -180,7 +187,10 @@
   many->add_option("--plays", plays, "so many")->check(CLI::Range(1, 100'000))->capture_default_str();
   many->add_option("--jobs", jobs, "at once")->check(CLI::Range(1, 64))->capture_default_str();
   for (auto* c : {run, many})
-    c->add_option("--misled", misled, "what has a daemon load the library that breaks its clocks and disk (plans of fleets; docs/rehearse.md)")->type_name("VARIABLE=VALUE");
+    c->add_option("--misled", misled,
+                  "what has a daemon load the library that breaks its clocks and disk (plans of fleets; "
+                  "docs/rehearse.md)")
+        ->type_name("VARIABLE=VALUE");
   sweep->add_option("--seeds", seeds, "so many")->check(CLI::Range(1, 100))->capture_default_str();
 
   try {
@@ -197,7 +207,9 @@
         return faulty;
       }
       if (*check) {
-        print(fmt::format("{}: good; {} voters of {} nodes, {} faults and {} drawn, {:.0f} s\n", file, r.plan.voters, r.plan.nodes, r.plan.breaches.size(), r.plan.drawn, double(r.plan.length) / 1e6));
+        print(fmt::format("{}: good; {} voters of {} nodes, {} faults and {} drawn, {:.0f} s\n", file,
+                          r.plan.voters, r.plan.nodes, r.plan.breaches.size(), r.plan.drawn,
+                          double(r.plan.length) / 1e6));
         return good;
       }
       FleetSetup setup{daemon, folder(out), misled, seed};
@@ -215,12 +227,14 @@
   if (*compare) {
     try {
       std::map<std::string, std::map<std::uint64_t, Kept>> by_folder;
-      print(fmt::format("{:<40} {:>6} {:>8} {:>8} {:>8} {:>7} {:>6}\n", "run", "seed", "service", "p50 ms", "p99 ms", "waste", "breaks"));
+      print(fmt::format("{:<40} {:>6} {:>8} {:>8} {:>8} {:>7} {:>6}\n", "run", "seed", "service", "p50 ms",
+                        "p99 ms", "waste", "breaks"));
       std::vector<Kept> all;
       for (const auto& f : folders) {
         all.push_back(kept(f));
         const Kept& k = all.back();
-        print(fmt::format("{:<40} {:>6} {:>8.2f} {:>8.1f} {:>8.1f} {:>7.2f} {:>6}{}\n", k.where, k.seed, k.service, k.p50, k.p99, k.waste, k.breaks, k.voided ? "  VOID" : ""));
+        print(fmt::format("{:<40} {:>6} {:>8.2f} {:>8.1f} {:>8.1f} {:>7.2f} {:>6}{}\n", k.where, k.seed,
+                          k.service, k.p50, k.p99, k.waste, k.breaks, k.voided ? "  VOID" : ""));
       }
       // The first seed's runs name the sides: the n-th run of each seed is of the n-th side.
       std::map<std::uint64_t, std::vector<const Kept*>> of_seed;
@@ -236,7 +250,9 @@
             lb.push_back(runs[side]->p99);
           }
         const auto d = difference(a, b), l = difference(la, lb);
-        print(fmt::format("side {} against side 1, {} pairs: service {:+.2f} (95%: +-{:.2f}), p99 {:+.1f} ms (+-{:.1f})\n", side + 1, d.pairs, d.mean, d.either_side, l.mean, l.either_side));
+        print(fmt::format(
+            "side {} against side 1, {} pairs: service {:+.2f} (95%: +-{:.2f}), p99 {:+.1f} ms (+-{:.1f})\n",
+            side + 1, d.pairs, d.mean, d.either_side, l.mean, l.either_side));
       }
       return good;
     } catch (const std::exception& wrong) {
@@ -251,7 +267,9 @@
   if (*sweep) {
     for (auto it = set.begin(); it != set.end(); ++it) {
       const auto equals = it->find('=');
-      if (equals == std::string::npos || it->find(',') == std::string::npos || it->find('[') != std::string::npos) continue;
+      if (equals == std::string::npos || it->find(',') == std::string::npos ||
+          it->find('[') != std::string::npos)
+        continue;
       if (!swept.empty()) {
         complain("sweep takes one key with several values\n");
         return misused;
@@ -275,7 +293,8 @@
   auto plan = plan_of(file, set);
   if (!plan) return faulty;
   if (*check) {
-    print(fmt::format("{}: good; {} halls, {} tiers, {} faults, {:.0f} s\n", file, plan->halls.size(), plan->tiers.size(), plan->mishaps.size(), double(plan->length) / 1e6));
+    print(fmt::format("{}: good; {} halls, {} tiers, {} faults, {:.0f} s\n", file, plan->halls.size(),
+                      plan->tiers.size(), plan->mishaps.size(), double(plan->length) / 1e6));
     return good;
   }
   if (out.empty()) {
@@ -304,7 +323,8 @@
     return int(verdict_of(*plan, *o));
   }
 
-  print(fmt::format("{:<16} {:>5} {:>9} {:>9} {:>9} {:>9} {:>8} {:>8} {:>7}\n", swept, "runs", "service", "+-95%", "p50 ms", "p99 ms", "waste", "tries", "breaks"));
+  print(fmt::format("{:<16} {:>5} {:>9} {:>9} {:>9} {:>9} {:>8} {:>8} {:>7}\n", swept, "runs", "service",
+                    "+-95%", "p50 ms", "p99 ms", "waste", "tries", "breaks"));
   int worst = good;
   for (const std::string& value : values) {
     auto all = set;
@@ -332,8 +352,10 @@
     }
     if (breaks > 0) worst = std::max(worst, 1);
     const std::vector<double> zero(service.size());
-    print(fmt::format("{:<16} {:>5} {:>9.2f} {:>9.2f} {:>9.1f} {:>9.1f} {:>8.2f} {:>8.2f} {:>7}\n", value, service.size(), difference(zero, service).mean, difference(zero, service).either_side,
-                      difference(zero, p50).mean, difference(zero, p99).mean, difference(zero, waste).mean, difference(zero, tries).mean, breaks));
+    print(fmt::format("{:<16} {:>5} {:>9.2f} {:>9.2f} {:>9.1f} {:>9.1f} {:>8.2f} {:>8.2f} {:>7}\n", value,
+                      service.size(), difference(zero, service).mean, difference(zero, service).either_side,
+                      difference(zero, p50).mean, difference(zero, p99).mean, difference(zero, waste).mean,
+                      difference(zero, tries).mean, breaks));
   }
   return worst;
 }
--- a/src/rehearse/peer.h
+++ b/src/rehearse/peer.h
@@ -1,5 +1,5 @@
-// HTTP as the kit's stand-ins speak it: one message after another on a connection, and a pool of connections for those
-// who ask. What went wrong is a value.
+// HTTP as the kit's stand-ins speak it: one message after another on a connection, and a pool of connections
+// for those who ask. What went wrong is a value.
 #pragma once
 
 #include <asio.hpp>
@@ -24,8 +24,8 @@
   // Reads until a message is whole; anything but `complete` is the connection's end.
   awaitable<codec::reading> read();
   awaitable<bool> write(std::string text);  // all of it, or false
-  bool gone();   // the other side has closed
-  void reset();  // closes so that the other side is told by a reset
+  bool gone();                              // the other side has closed
+  void reset();                             // closes so that the other side is told by a reset
   tcp::socket socket;
   codec::Message in;
 };
@@ -44,8 +44,8 @@
 class Asker {
  public:
   explicit Asker(asio::io_context& io) : io_(io) {}
-  // `sent` is called when the last byte has been written to a connection; may be called twice, where a kept one was
-  // closed as the request crossed it and it is sent once more on a new one.
+  // `sent` is called when the last byte has been written to a connection; may be called twice, where a kept
+  // one was closed as the request crossed it and it is sent once more on a new one.
   awaitable<Heard> ask(tcp::endpoint to, std::string request, steady::time_point until,
                        std::function<void()> sent);
   void forget(tcp::endpoint at) { idle_.erase(at); }
--- a/src/rehearse/plain.cpp
+++ b/src/rehearse/plain.cpp
@@ -58,9 +58,10 @@
   awaitable<void> serve(std::shared_ptr<Peer> p) {
     const auto self = shared_from_this();
     while (co_await p->read() == codec::reading::complete) {
-      const std::string scheme(p->in.header("Request-Class")), id(p->in.header("Request-Id")), key(p->in.header("Idempotency-Key")),
-          method(p->in.method());
-      const auto until = steady::now() + std::chrono::milliseconds(std::max(0LL, codec::whole_number(p->in.header("Request-Timeout-Ms"))));
+      const std::string scheme(p->in.header("Request-Class")), id(p->in.header("Request-Id")),
+          key(p->in.header("Idempotency-Key")), method(p->in.method());
+      const auto until = steady::now() + std::chrono::milliseconds(std::max(
+                                             0LL, codec::whole_number(p->in.header("Request-Timeout-Ms"))));
       const repeats kind = world.kind(scheme);
       std::set<std::string> tried;
       std::string answer = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
@@ -69,20 +70,25 @@
         const Target* box = pick(all, tried);
         if (!box) break;
         tried.insert(box->name);
-        const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(until - steady::now()).count();
+        const auto left =
+            std::chrono::duration_cast<std::chrono::milliseconds>(until - steady::now()).count();
         const std::string mark = key.empty() ? "" : fmt::format("Idempotency-Key: {}\r\n", key);
         const std::string name = box->name;
         ++out[name];
         bool sent = false;
-        const Heard h = co_await asker.ask(
-            box->at, fmt::format("{} /api HTTP/1.1\r\nHost: b\r\nRequest-Id: {}\r\nRequest-Class: {}\r\n{}Request-Timeout-Ms: {}\r\nContent-Length: 0\r\n\r\n", method, id, scheme, mark, left),
-            until, [&] { sent = true; });
+        const Heard h =
+            co_await asker.ask(box->at,
+                               fmt::format("{} /api HTTP/1.1\r\nHost: b\r\nRequest-Id: {}\r\nRequest-Class: "
+                                           "{}\r\n{}Request-Timeout-Ms: {}\r\nContent-Length: 0\r\n\r\n",
+                                           method, id, scheme, mark, left),
+                               until, [&] { sent = true; });
         --out[name];
         if (h.how == came::answered && h.status == 200) {
           answer = fmt::format("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}", h.body.size(), h.body);
           break;
         }
-        const bool never_ran = (h.how == came::answered && h.status == 503) || h.how == came::unreachable || !sent;
+        const bool never_ran =
+            (h.how == came::answered && h.status == 503) || h.how == came::unreachable || !sent;
         if (!never_ran) {
           answer = "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n";
           if (kind != repeats::repeatable) break;
@@ -93,7 +99,8 @@
   }
 };
 
-PlainNode::PlainNode(asio::io_context& io, tcp::endpoint listen, bool at_random, std::uint64_t seed, World world)
+PlainNode::PlainNode(asio::io_context& io, tcp::endpoint listen, bool at_random, std::uint64_t seed,
+                     World world)
     : state_(std::make_shared<State>(io, listen, at_random, seed, std::move(world))) {
   asio::co_spawn(io, state_->accept(), asio::detached);
 }
--- a/src/rehearse/plain.h
+++ b/src/rehearse/plain.h
@@ -1,5 +1,5 @@
-// A node with a plain policy in the daemon's place, to compare with: it keeps the rules, and knows nothing of the boxes
-// but the list. In the kit's own process.
+// A node with a plain policy in the daemon's place, to compare with: it keeps the rules, and knows nothing of
+// the boxes but the list. In the kit's own process.
 #pragma once
 
 #include <functional>
--- a/src/rehearse/plan.cpp
+++ b/src/rehearse/plan.cpp
@@ -14,15 +14,22 @@
 
 using config::Keys;
 
-constexpr std::pair<const char*, trouble> troubles[] = {
-    {"slow", trouble::slow},           {"taken", trouble::taken},
-    {"silent", trouble::silent},       {"dead", trouble::dead},
-    {"hanging", trouble::hanging},     {"failing", trouble::failing},
-    {"refusing", trouble::refusing},   {"reset", trouble::reset},
-    {"spoilt", trouble::spoilt},       {"dear", trouble::dear},
-    {"list-behind", trouble::list_behind}, {"list-broken", trouble::list_broken},
-    {"nodes-restart", trouble::nodes_restart}, {"hall-cut", trouble::hall_cut},
-    {"deploy", trouble::deploy},       {"jump", trouble::jump}};
+constexpr std::pair<const char*, trouble> troubles[] = {{"slow", trouble::slow},
+                                                        {"taken", trouble::taken},
+                                                        {"silent", trouble::silent},
+                                                        {"dead", trouble::dead},
+                                                        {"hanging", trouble::hanging},
+                                                        {"failing", trouble::failing},
+                                                        {"refusing", trouble::refusing},
+                                                        {"reset", trouble::reset},
+                                                        {"spoilt", trouble::spoilt},
+                                                        {"dear", trouble::dear},
+                                                        {"list-behind", trouble::list_behind},
+                                                        {"list-broken", trouble::list_broken},
+                                                        {"nodes-restart", trouble::nodes_restart},
+                                                        {"hall-cut", trouble::hall_cut},
+                                                        {"deploy", trouble::deploy},
+                                                        {"jump", trouble::jump}};
 
 // What a key is read into must outlive the reading; this keeps those that are not the plan's own type.
 class Reader : private Keys {
@@ -42,7 +49,10 @@
            {"net", [&](auto& n) { part(n, "net", net()); }},
            {"list", [&](auto& n) { part(n, "list", list()); }},
            {"terms", [&](auto& n) { part(n, "terms", terms()); }},
-           {"kit", [&](auto& n) { part(n, "kit", {{"late_p99", span(p.late_limit, "kit.late_p99", 1)}}); }},
+           {"kit",
+            [&](auto& n) {
+              part(n, "kit", {{"late_p99", span(p.late_limit, "kit.late_p99", 1)}});
+            }},
            {"hall", [&](auto& n) { halls(n); }},
            {"tier", [&](auto& n) { tiers(n); }},
            {"scheme", [&](auto& n) { schemes(n); }},
@@ -66,7 +76,8 @@
     return straight(to, [=, this](Told<micros>& t) { return time(t, key, least); });
   }
   take num(double& to, const std::string& key, double most, bool zero = false) {
-    return straight(to, [=, this](Told<double>& t) { return number(t, key, most, zero ? "" : "it must be above zero"); });
+    return straight(
+        to, [=, this](Told<double>& t) { return number(t, key, most, zero ? "" : "it must be above zero"); });
   }
   take count(int& to, const std::string& key, int least, int most) {
     return straight(to, [=, this](Told<int>& t) { return whole(t, key, least, most); });
@@ -105,7 +116,10 @@
     model::Mix& m = plan_.mix;
     return {{"rate", num(m.rate, "load.rate", 20'000)},
             {"shape", word_of<model::shape>(m.form, "load.shape",
-                                            {{"steady", model::shape::steady}, {"ramp", model::shape::ramp}, {"wave", model::shape::wave}, {"bursty", model::shape::bursty}})},
+                                            {{"steady", model::shape::steady},
+                                             {"ramp", model::shape::ramp},
+                                             {"wave", model::shape::wave},
+                                             {"bursty", model::shape::bursty}})},
             {"swing", num(m.swing, "load.swing", 0.95, true)},
             {"turn", span(m.turn, "load.turn", 100'000)},
             {"replay", plain(plan_.replay, "load.replay")},
@@ -170,7 +184,9 @@
             {"cold_from", num(m.cold_from, key("cold_from"), 1)},
             {"cold_for", span(m.cold_for, key("cold_for"), 0)},
             {"cancel", word_of<model::cancels>(m.cancel, key("cancel"),
-                                               {{"none", model::cancels::none}, {"queued", model::cancels::queued}, {"all", model::cancels::all}})},
+                                               {{"none", model::cancels::none},
+                                                {"queued", model::cancels::queued},
+                                                {"all", model::cancels::all}})},
             {"drops_expired", yes(m.drops_expired, key("drops_expired"))},
             {"connections", count(m.connections, key("connections"), 1, 100'000)},
             {"handshake", span(m.handshake, key("handshake"), 0)},
@@ -220,7 +236,9 @@
              {"expiry", span(s.expiry, w + ".expiry", 1000)},
              {"revenue", num(s.revenue, w + ".revenue", 1e9)},
              {"repeats", word_of<repeats>(s.kind, w + ".repeats",
-                                          {{"repeatable", repeats::repeatable}, {"referenced", repeats::referenced}, {"once-only", repeats::once_only}})},
+                                          {{"repeatable", repeats::repeatable},
+                                           {"referenced", repeats::referenced},
+                                           {"once-only", repeats::once_only}})},
              {"within", word_of<group>(s.within, w + ".within",
                                        {{"all", group::all}, {"zone", group::zone}, {"cell", group::cell}})},
              {"memory", span(s.memory, w + ".memory", 0)}});
@@ -280,9 +298,12 @@
     if (part && m.size > 1)
       fault(m.at, "fault.size", fmt::format("of \"{}\" is a share, from above 0 to 1", word(m.what)));
     if (m.what == trouble::taken && m.size == 1) fault(m.at, "fault.size", "leaves nothing; say hanging");
-    if (m.what == trouble::slow && m.size < 1) fault(m.at, "fault.size", "of \"slow\" is how many times slower, from 1");
-    if (m.what == trouble::dear && m.scheme.empty()) fault(m.at, "fault.scheme", "is missing: whose txns turn dear");
-    if (m.what == trouble::hall_cut && m.hall.empty()) fault(m.at, "fault.hall", "is missing: which hall is cut off");
+    if (m.what == trouble::slow && m.size < 1)
+      fault(m.at, "fault.size", "of \"slow\" is how many times slower, from 1");
+    if (m.what == trouble::dear && m.scheme.empty())
+      fault(m.at, "fault.scheme", "is missing: whose txns turn dear");
+    if (m.what == trouble::hall_cut && m.hall.empty())
+      fault(m.at, "fault.hall", "is missing: which hall is cut off");
   }
 
   void expect(const toml::node& n) {
@@ -308,7 +329,8 @@
     std::set<std::string> names;
     for (const auto& one : list) {
       if (one.name.empty()) fault({1, 1}, std::string(what) + ".name", "is missing");
-      if (!names.insert(one.name).second) fault({1, 1}, std::string(what) + ".name", "\"" + one.name + "\" stands twice");
+      if (!names.insert(one.name).second)
+        fault({1, 1}, std::string(what) + ".name", "\"" + one.name + "\" stands twice");
     }
     return names;
   }
@@ -323,7 +345,8 @@
     if (p.halls.empty()) p.halls.push_back({"here", 1});
     for (const Hall& h : p.halls) p.mix.halls.push_back(h.share);
     for (std::size_t i = 1; i < p.tiers.size(); ++i) p.mix.calls.push_back(p.tiers[i].calls);
-    if (p.tiers.empty()) fault({1, 1}, "tier", "is missing: a plan needs boxes, as [[tier]] with [[tier.box]]");
+    if (p.tiers.empty())
+      fault({1, 1}, "tier", "is missing: a plan needs boxes, as [[tier]] with [[tier.box]]");
     if (p.mix.schemes.empty()) fault({1, 1}, "scheme", "is missing: a plan needs txns, as [[scheme]]");
     if (p.warm_up >= p.length) fault({1, 1}, "warm_up", "leaves nothing of the length to count");
     const auto halls = names_of(p.halls, "hall"), tiers = names_of(p.tiers, "tier"),
@@ -372,8 +395,10 @@
     if (auto* list = at->as_array()) {
       toml::node* found = nullptr;
       for (auto& one : *list)
-        if (const auto* table = one.as_table(); table && (*table)["name"].value<std::string>() == name) found = &one;
-      if (!found && !name.empty() && name.find_first_not_of("0123456789") == std::string::npos && name.size() < 6)
+        if (const auto* table = one.as_table(); table && (*table)["name"].value<std::string>() == name)
+          found = &one;
+      if (!found && !name.empty() && name.find_first_not_of("0123456789") == std::string::npos &&
+          name.size() < 6)
         found = list->get(std::size_t(std::stoul(name)));
       if (!found || last) return "names nothing in the plan";
       at = found;
@@ -405,7 +430,8 @@
   r.plan.name = std::filesystem::path(path).stem().string();
   config::read_toml(path, text, r.faults, [&](toml::table& t) {
     for (const std::string& pair : set)
-      if (const std::string wrong = put(t, pair); !wrong.empty()) r.faults.push_back({{}, "--set " + pair, wrong});
+      if (const std::string wrong = put(t, pair); !wrong.empty())
+        r.faults.push_back({{}, "--set " + pair, wrong});
     Reader(r).all(t);
   });
   return r;
--- a/src/rehearse/plan.h
+++ b/src/rehearse/plan.h
@@ -1,5 +1,5 @@
-// A plan: the halls, boxes, nodes and clients of a rehearsal, what goes wrong when, and what is expected of the day. Read
-// from TOML and checked like the daemon's file. Keys: docs/rehearse.md.
+// A plan: the halls, boxes, nodes and clients of a rehearsal, what goes wrong when, and what is expected of
+// the day. Read from TOML and checked like the daemon's file. Keys: docs/rehearse.md.
 #pragma once
 
 #include <map>
@@ -33,26 +33,40 @@
 
 struct Tier {
   std::string name;
-  double work = 1;                            // share of a txn's work that each call costs here
-  std::pair<double, double> calls{1, 1};      // how often a txn of the tier before calls it
+  double work = 1;                        // share of a txn's work that each call costs here
+  std::pair<double, double> calls{1, 1};  // how often a txn of the tier before calls it
   std::vector<BoxKind> kinds;
 };
 
 enum class trouble {
-  slow, taken, silent, dead, hanging, failing, refusing, reset, spoilt, dear, list_behind, list_broken, nodes_restart,
-  hall_cut, deploy, jump
+  slow,
+  taken,
+  silent,
+  dead,
+  hanging,
+  failing,
+  refusing,
+  reset,
+  spoilt,
+  dear,
+  list_behind,
+  list_broken,
+  nodes_restart,
+  hall_cut,
+  deploy,
+  jump
 };
 
 struct Mishap {
   At at;
   trouble what = trouble::slow;
   micros from = 0, span = 10'000'000;
-  std::string tier, hall, scheme;   // of which boxes or txns; empty: any
-  std::vector<std::string> boxes;   // by name; else `share` of those that fit
+  std::string tier, hall, scheme;  // of which boxes or txns; empty: any
+  std::vector<std::string> boxes;  // by name; else `share` of those that fit
   double share = 1, size = 2;
-  int together = 1;                 // nodes or boxes at once
-  micros down = 800'000;            // of a restarted node or box
-  bool killed = false;              // a node: outright; else told to end
+  int together = 1;       // nodes or boxes at once
+  micros down = 800'000;  // of a restarted node or box
+  bool killed = false;    // a node: outright; else told to end
 };
 
 struct Net {  // one way
@@ -61,8 +75,8 @@
 };
 
 struct Expect {
-  Told<double> service, waste;         // points of 100; waste at the most
-  Told<int> tipped;                                  // boxes at the most
+  Told<double> service, waste;  // points of 100; waste at the most
+  Told<int> tipped;             // boxes at the most
   std::map<std::string, Told<double>> halls, schemes;
 };
 
@@ -83,10 +97,10 @@
   Net net;
   Permissions permissions;
   int nodes = 4;
-  std::string config;       // a file of ours for the nodes, as seen from the plan
+  std::string config;                   // a file of ours for the nodes, as seen from the plan
   int memory_mb = 192, sockets = 1024;  // of each node's process; no memory: no limit
-  micros front_notice = 1'500'000;  // until the front sees that a node has died
-  std::string replay;               // a records file, whose mix and pacing is played instead of a drawn one
+  micros front_notice = 1'500'000;      // until the front sees that a node has died
+  std::string replay;  // a records file, whose mix and pacing is played instead of a drawn one
   double pace = 1;
   std::vector<Mishap> mishaps;
   Expect expect;
--- a/src/rehearse/report.cpp
+++ b/src/rehearse/report.cpp
@@ -16,7 +16,8 @@
 
 namespace {
 
-constexpr std::array rules = {"no txn lost", "no effect twice", "drains kept", "cold servers not pushed over"};
+constexpr std::array rules = {"no txn lost", "no effect twice", "drains kept",
+                              "cold servers not pushed over"};
 
 double points(const Service& s) { return 100 * s.share(); }
 
@@ -53,7 +54,8 @@
   const Expect& e = plan.expect;
   const auto least = [&](const Told<double>& wanted, double is, const std::string& what) {
     if (wanted.said() && is < wanted.value)
-      all.push_back(fmt::format("{} is {:.2f}, expected {} at the least (line {})", what, is, wanted.value, wanted.at.line));
+      all.push_back(fmt::format("{} is {:.2f}, expected {} at the least (line {})", what, is, wanted.value,
+                                wanted.at.line));
   };
   least(e.service, points(o.verdict.service), "service");
   for (const auto& [name, wanted] : e.halls)
@@ -61,11 +63,14 @@
       if (o.grounds.halls[i] == name) least(wanted, points(o.verdict.by_hall[i]), "service of " + name);
   for (const auto& [name, wanted] : e.schemes)
     for (std::size_t i = 0; i < o.grounds.schemes.size(); ++i)
-      if (o.grounds.schemes[i].name == name) least(wanted, points(o.verdict.by_scheme[i]), "service of " + name);
+      if (o.grounds.schemes[i].name == name)
+        least(wanted, points(o.verdict.by_scheme[i]), "service of " + name);
   if (e.waste.said() && 100 * o.waste > e.waste.value)
-    all.push_back(fmt::format("waste is {:.2f}, expected {} at the most (line {})", 100 * o.waste, e.waste.value, e.waste.at.line));
+    all.push_back(fmt::format("waste is {:.2f}, expected {} at the most (line {})", 100 * o.waste,
+                              e.waste.value, e.waste.at.line));
   if (e.tipped.said() && o.tipped > e.tipped.value)
-    all.push_back(fmt::format("boxes tipped {} times, expected {} at the most (line {})", o.tipped, e.tipped.value, e.tipped.at.line));
+    all.push_back(fmt::format("boxes tipped {} times, expected {} at the most (line {})", o.tipped,
+                              e.tipped.value, e.tipped.at.line));
   return all;
 }
 
@@ -75,12 +80,14 @@
 }
 
 std::string summary(const Plan& plan, const Outcome& o, std::uint64_t seed) {
-  std::string out = fmt::format("{} (seed {}): service {:.0f} of 100\n", plan.name, seed, points(o.verdict.service));
+  std::string out =
+      fmt::format("{} (seed {}): service {:.0f} of 100\n", plan.name, seed, points(o.verdict.service));
   const auto put = [&](const std::string& line) { out += "  " + line + "\n"; };
   const Verdict& v = o.verdict;
-  put(fmt::format("{} txns, {} tries, {} postings, {} declined, {} failed", v.txns, v.tries, v.postings, v.declined, v.failed));
-  put(fmt::format("answers: half within {:.0f} ms, 95% within {:.0f}, 99% within {:.0f}", quantile(v.latency, 0.5),
-                  quantile(v.latency, 0.95), quantile(v.latency, 0.99)));
+  put(fmt::format("{} txns, {} tries, {} postings, {} declined, {} failed", v.txns, v.tries, v.postings,
+                  v.declined, v.failed));
+  put(fmt::format("answers: half within {:.0f} ms, 95% within {:.0f}, 99% within {:.0f}",
+                  quantile(v.latency, 0.5), quantile(v.latency, 0.95), quantile(v.latency, 0.99)));
   std::string halls, schemes;
   for (std::size_t i = 0; i < o.grounds.halls.size(); ++i)
     halls += fmt::format("{}{} {:.1f}", i ? ", " : "", o.grounds.halls[i], points(v.by_hall[i]));
@@ -90,7 +97,8 @@
   put("by scheme: " + schemes);
   const auto [worst, at] = worst_window(v);
   put(fmt::format("worst 5 s: {:.0f}, from {:.0f} s; boxes tipped {} times, fell {}; waste {:.1f}%", worst,
-                  double(plan.warm_up + micros(at) * o.grounds.window) / 1e6, o.tipped, o.fallen, 100 * o.waste));
+                  double(plan.warm_up + micros(at) * o.grounds.window) / 1e6, o.tipped, o.fallen,
+                  100 * o.waste));
   if (!o.happened.empty()) {
     put("what happened:");
     for (const auto& [t, what] : o.happened) put(fmt::format("  {:7.1f} s  {}", double(t) / 1e6, what));
@@ -150,20 +158,24 @@
     for (std::size_t i = 0; i < of.size(); ++i) number(names(i).c_str(), points(of[i]));
     out.EndObject();
   };
-  shares("by_hall", [&](std::size_t i) { return o.grounds.halls[i]; }, v.by_hall);
-  shares("by_scheme", [&](std::size_t i) { return o.grounds.schemes[i].name; }, v.by_scheme);
+  shares(
+      "by_hall", [&](std::size_t i) { return o.grounds.halls[i]; }, v.by_hall);
+  shares(
+      "by_scheme", [&](std::size_t i) { return o.grounds.schemes[i].name; }, v.by_scheme);
   key("windows");
   out.StartArray();
   for (std::size_t i = 0; i < v.windows.size(); ++i) {
     out.StartObject();
     number("from_s", double(plan.warm_up + micros(i) * o.grounds.window) / 1e6);
-    for (std::size_t h = 0; h < v.windows[i].size(); ++h) number(o.grounds.halls[h].c_str(), points(v.windows[i][h]));
+    for (std::size_t h = 0; h < v.windows[i].size(); ++h)
+      number(o.grounds.halls[h].c_str(), points(v.windows[i][h]));
     out.EndObject();
   }
   out.EndArray();
   key("latency_ms");
   out.StartObject();
-  for (const auto& [name, part] : {std::pair{"p50", 0.5}, {"p90", 0.9}, {"p95", 0.95}, {"p99", 0.99}, {"p999", 0.999}})
+  for (const auto& [name, part] :
+       {std::pair{"p50", 0.5}, {"p90", 0.9}, {"p95", 0.95}, {"p99", 0.99}, {"p999", 0.999}})
     number(name, quantile(v.latency, part));
   out.EndObject();
   count("txns", v.txns);
@@ -212,7 +224,8 @@
   d.Parse(text.c_str());
   const auto number = [&](const rapidjson::Value& of, const char* k) {
     const auto m = of.FindMember(k);
-    if (m == of.MemberEnd() || !m->value.IsNumber()) throw std::runtime_error(path + ": " + k + " is missing or no number");
+    if (m == of.MemberEnd() || !m->value.IsNumber())
+      throw std::runtime_error(path + ": " + k + " is missing or no number");
     return m->value.GetDouble();
   };
   if (d.HasParseError() || !d.IsObject() || !d.HasMember("latency_ms") || !d["latency_ms"].IsObject() ||
--- a/src/rehearse/report.h
+++ b/src/rehearse/report.h
@@ -1,5 +1,5 @@
-// What a rehearsal came to: for a person, and as one JSON object (its schema: docs/rehearse.md). And many of them side by
-// side.
+// What a rehearsal came to: for a person, and as one JSON object (its schema: docs/rehearse.md). And many of
+// them side by side.
 #pragma once
 
 #include <string>
--- a/src/rehearse/stage.cpp
+++ b/src/rehearse/stage.cpp
@@ -97,9 +97,11 @@
         const int cell = b->hall * 100 + in_hall[std::size_t(b->hall)]++ / 4;
         auto& group = by_group[wide ? 0 : b->hall];
         if (!group) group = std::make_shared<model::Marks>();
-        b->box = std::make_unique<model::Box>(agenda_, kind.make, setup_.seed * 1000 + std::uint64_t(b->number), group);
-        b->entry = {b->name, plan_.halls[std::size_t(b->hall)].name, kind.name, cell,
-                    kind.make.cores * kind.make.speed, model::state::ready, 0};
+        b->box = std::make_unique<model::Box>(agenda_, kind.make,
+                                              setup_.seed * 1000 + std::uint64_t(b->number), group);
+        b->entry = {b->name, plan_.halls[std::size_t(b->hall)].name, kind.name,
+                    cell,    kind.make.cores * kind.make.speed,      model::state::ready,
+                    0};
         for (int hall = 0; hall < int(plan_.halls.size()); ++hall)
           b->acceptors.push_back(listening(box_at(b->number, hall)));
         b->fillers.resize(plan_.halls.size());
@@ -115,7 +117,8 @@
   for (auto& b : boxes_)
     for (int hall = 0; hall < int(b->acceptors.size()); ++hall) open(*b, hall);
   if (setup_.boxes_only) return;
-  for (int n = 0; n < plan_.nodes; ++n) add_node(fmt::format("front-{}", n + 1), n % int(plan_.halls.size()), 0, n, plan_.nodes);
+  for (int n = 0; n < plan_.nodes; ++n)
+    add_node(fmt::format("front-{}", n + 1), n % int(plan_.halls.size()), 0, n, plan_.nodes);
   for (std::size_t tier = 0; tier + 1 < plan_.tiers.size(); ++tier) {
     int callers = 0, me = 0;
     for (const auto& b : boxes_) callers += b->tier == tier ? 1 : 0;
@@ -130,7 +133,8 @@
 double Stage::kit_cpu() {
   rusage u{};
   ::getrusage(RUSAGE_SELF, &u);
-  return double(u.ru_utime.tv_sec + u.ru_stime.tv_sec) + double(u.ru_utime.tv_usec + u.ru_stime.tv_usec) / 1e6;
+  return double(u.ru_utime.tv_sec + u.ru_stime.tv_sec) +
+         double(u.ru_utime.tv_usec + u.ru_stime.tv_usec) / 1e6;
 }
 
 Progress Stage::how_it_goes() {
@@ -143,7 +147,8 @@
 }
 
 void Stage::finish() {
-  for (const std::size_t i : out_tries_) out_.history.tries[i].left = true;  // the end of the run cut them short
+  for (const std::size_t i : out_tries_)
+    out_.history.tries[i].left = true;  // the end of the run cut them short
   look_after_nodes();
   for (auto& n : nodes_) {
     n->meant = false;
@@ -158,16 +163,17 @@
   out_.fallen = int(out_.history.falls.size());
   out_.waste = done > 0 ? wasted / done : 0;
   std::sort(late_.begin(), late_.end());
-  out_.late_p99_ms = late_.empty() ? 0 : late_[std::min(late_.size() - 1, std::size_t(0.99 * double(late_.size())))];
+  out_.late_p99_ms =
+      late_.empty() ? 0 : late_[std::min(late_.size() - 1, std::size_t(0.99 * double(late_.size())))];
   out_.sends_a_second = double(sends_) / (double(now() - begin_) / 1e6);
   if (out_.void_because.empty() && out_.late_p99_ms * 1000 > double(plan_.late_limit))
-    out_.void_because = fmt::format("the kit ran late: one send in a hundred by over {:.1f} ms (limit {}); it wants more of the machine",
-                                    out_.late_p99_ms, config::duration(plan_.late_limit));
+    out_.void_because = fmt::format(
+        "the kit ran late: one send in a hundred by over {:.1f} ms (limit {}); it wants more of the machine",
+        out_.late_p99_ms, config::duration(plan_.late_limit));
   out_.verdict = judge(out_.history, out_.grounds);
   io_.stop();
 }
 
-
 Outcome play(const Plan& plan, const Setup& setup, const std::function<void(const Progress&)>& progress,
              const std::function<bool()>& stop) {
   std::filesystem::create_directories(setup.out);
@@ -182,9 +188,13 @@
     schemes += fmt::format(
         R"({}{{"Name":"{}","Effect":"{}","Group":"{}","Window":{},"SlaTime":{},"Expiry":{},"Revenue":{}}})",
         schemes.empty() ? "" : ",", s.name,
-        s.kind == repeats::repeatable ? "safe" : s.kind == repeats::referenced ? "keyed" : "unsafe",
-        s.within == group::all ? "all" : s.within == group::zone ? "zone" : "cell", ms(s.memory), ms(s.sla),
-        ms(s.expiry), s.revenue);
+        s.kind == repeats::repeatable   ? "safe"
+        : s.kind == repeats::referenced ? "keyed"
+                                        : "unsafe",
+        s.within == group::all    ? "all"
+        : s.within == group::zone ? "zone"
+                                  : "cell",
+        ms(s.memory), ms(s.sla), ms(s.expiry), s.revenue);
   for (const auto& t : plan.mix.tenants)
     tenants += fmt::format(R"({}{{"Name":"{}","AllowancePerS":{}}})", tenants.empty() ? "" : ",", t.name,
                            t.allowance > 0 ? t.allowance : 1e9);
@@ -198,10 +208,11 @@
       R"("Guarantees":{{"AskEvery":{},"Cold":{},"ColdFrom":{},"TipMultiple":{},"OverloadFor":{},"DrainGrace":{}}},)"
       R"("Prices":{{"CrossZone":0.01,"Waste":0.2,"LateFail":0.06}},"Stats":{{"Names":["pending","busy_reqs","cpu_share","svc_ms"]}},)"
       R"("Callers":{{"MarksRetry":{}}},"Stages":[{}],"Tier":{},"Me":{},"PeersTotal":{},"Zone":"{}","Weights":"nominal","Discovery":"subscribe"}}}})",
-      n.name, n.listen, n.discovery, n.seed, plan.memory_mb > 0 ? plan.memory_mb : 256, plan.sockets, n.known, schemes, tenants, p.most_postings,
-      ms(p.dial), ms(p.keepalive), p.cancel, p.second_copies, p.retry_after, ms(plan.clients.longest_advice),
-      ms(p.ask_every), ms(make.cold_for), make.cold_from, make.fall_multiple, ms(make.fall_window), ms(p.drain_grace),
-      plan.clients.marks, stages, n.tier, n.me, n.nodes, n.zone);
+      n.name, n.listen, n.discovery, n.seed, plan.memory_mb > 0 ? plan.memory_mb : 256, plan.sockets, n.known,
+      schemes, tenants, p.most_postings, ms(p.dial), ms(p.keepalive), p.cancel, p.second_copies,
+      p.retry_after, ms(plan.clients.longest_advice), ms(p.ask_every), ms(make.cold_for), make.cold_from,
+      make.fall_multiple, ms(make.fall_window), ms(p.drain_grace), plan.clients.marks, stages, n.tier, n.me,
+      n.nodes, n.zone);
 }
 
 }  // namespace robinpin::rehearse
--- a/src/rehearse/stage.h
+++ b/src/rehearse/stage.h
@@ -1,4 +1,5 @@
-// A rehearsal on real sockets: daemons as processes, boxes, list and clients as stand-ins over the model, all on loopback.
+// A rehearsal on real sockets: daemons as processes, boxes, list and clients as stand-ins over the model, all
+// on loopback.
 #pragma once
 
 #include <functional>
@@ -23,7 +24,7 @@
 };
 
 struct Progress {
-  double part = 0;  // of the plan
+  double part = 0;     // of the plan
   double service = 1;  // of the last seconds
   std::vector<std::string> going_wrong;
 };
@@ -32,7 +33,7 @@
   Grounds grounds;
   History history;
   Verdict verdict;
-  std::string void_because;  // empty: it counts
+  std::string void_because;          // empty: it counts
   std::vector<std::string> crashed;  // daemons that ended by themselves, or did not end when told to
   std::vector<std::pair<micros, std::string>> happened;
   double late_p99_ms = 0, waste = 0;
@@ -40,7 +41,8 @@
   double sends_a_second = 0, kit_cores = 0;
 };
 
-// Plays the plan. Throws std::runtime_error, naming the address, where one is taken. `stop` is asked now and then.
+// Plays the plan. Throws std::runtime_error, naming the address, where one is taken. `stop` is asked now and
+// then.
 Outcome play(const Plan& plan, const Setup& setup, const std::function<void(const Progress&)>& progress,
              const std::function<bool()>& stop);
 
--- a/src/rehearse/stage_boxes.cpp
+++ b/src/rehearse/stage_boxes.cpp
@@ -32,7 +32,8 @@
     fillers.back().non_blocking(true);
     // Asio's own would wait for a queue that is to stay full.
     const auto to = box_at(b.number, hall);
-    if (::connect(fillers.back().native_handle(), to.data(), socklen_t(to.size())) != 0 && errno != EINPROGRESS)
+    if (::connect(fillers.back().native_handle(), to.data(), socklen_t(to.size())) != 0 &&
+        errno != EINPROGRESS)
       throw std::runtime_error(fmt::format("{}: {}", text_of(to), std::strerror(errno)));
   }
 }
@@ -101,7 +102,9 @@
   t->postings.push_back({});
   t->postings.back().box = b.number;
   t->postings.back().came = now();
-  const auto posting = [this, id, number]() -> Try::Posting& { return out_.history.find(id)->postings[number]; };
+  const auto posting = [this, id, number]() -> Try::Posting& {
+    return out_.history.find(id)->postings[number];
+  };
   const micros expiry = now() + wait;
   if (!co_await reaches(b, hall, life)) co_return false;
   co_await sleep(delay(b.hall, hall, id));
@@ -134,7 +137,8 @@
     spawn([=, this, &b]() { return call_next(b, job_number, facts, number, n, expiry, mark); });
   };
   agenda_.advance(now());
-  b.box->arrive(std::move(job), out_.grounds.nodes.empty() ? "" : out_.grounds.nodes[std::size_t(facts.node)]);
+  b.box->arrive(std::move(job),
+                out_.grounds.nodes.empty() ? "" : out_.grounds.nodes[std::size_t(facts.node)]);
   pump();
   p->socket.async_wait(tcp::socket::wait_read, [x, p](asio::error_code cancelled) {
     if (cancelled || !p->gone()) return;
@@ -172,14 +176,16 @@
 
 std::string Stage::answer(const BoxHost& b, model::done how, const std::string& id) const {
   const model::Load l = b.box->load();
-  const std::string load = fmt::format("Server-Load: pending={},busy_reqs={},cpu_share={:.2f},svc_ms={:.1f}\r\n",
-                                       l.waiting, l.in_work, l.busy, double(l.latency) / 1000);
+  const std::string load =
+      fmt::format("Server-Load: pending={},busy_reqs={},cpu_share={:.2f},svc_ms={:.1f}\r\n", l.waiting,
+                  l.in_work, l.busy, double(l.latency) / 1000);
   if (how == model::done::served) {
     const std::string body = id + " by " + b.name;
     return fmt::format("HTTP/1.1 200 OK\r\n{}Content-Length: {}\r\n\r\n{}", load, body.size(), body);
   }
   return how == model::done::refused
-             ? fmt::format("HTTP/1.1 503 Service Unavailable\r\nNot-Started: 1\r\n{}Content-Length: 0\r\n\r\n", load)
+             ? fmt::format(
+                   "HTTP/1.1 503 Service Unavailable\r\nNot-Started: 1\r\n{}Content-Length: 0\r\n\r\n", load)
              : fmt::format("HTTP/1.1 500 Internal Server Error\r\n{}Content-Length: 0\r\n\r\n", load);
 }
 
@@ -198,7 +204,8 @@
   return t;
 }
 
-awaitable<void> Stage::call_next(BoxHost& b, std::uint64_t job, Try caller, std::size_t posting, int n, micros expiry, std::string mark) {
+awaitable<void> Stage::call_next(BoxHost& b, std::uint64_t job, Try caller, std::size_t posting, int n,
+                                 micros expiry, std::string mark) {
   const std::uint64_t life = b.life;
   NodeHost& node = *nodes_[std::size_t(b.own_node)];
   Try t;
@@ -213,7 +220,9 @@
   const int tenant = caller.txn < out_.history.deals.size() ? out_.history.deals[caller.txn].tenant : -1;
   if (expiry - now() > 1000) {
     const std::string id = t.id;
-    const Heard h = co_await ask(std::move(t), node, request(id, caller.scheme, tenant, expiry - now(), mark + "." + std::to_string(n)));
+    const Heard h =
+        co_await ask(std::move(t), node,
+                     request(id, caller.scheme, tenant, expiry - now(), mark + "." + std::to_string(n)));
     served = h.how == came::answered && h.status == 200;
   }
   if (b.life != life) co_return;
--- a/src/rehearse/stage_clients.cpp
+++ b/src/rehearse/stage_clients.cpp
@@ -3,7 +3,8 @@
 
 namespace robinpin::rehearse {
 
-std::string Stage::request(const std::string& id, int scheme, int tenant, micros left, const std::string& mark, bool repeat) const {
+std::string Stage::request(const std::string& id, int scheme, int tenant, micros left,
+                           const std::string& mark, bool repeat) const {
   const auto& s = plan_.mix.schemes[std::size_t(scheme)];
   const std::string key = s.kind == repeats::referenced ? fmt::format("Idempotency-Key: {}\r\n", mark) : "";
   const std::string who =
@@ -33,7 +34,7 @@
   Try& done = out_.history.tries[number];
   if (h.how == came::answered) {
     done.answered = now();
-    done.how = h.status == 200                        ? answer::settled
+    done.how = h.status == 200                      ? answer::settled
                : h.status == 429 || h.status == 503 ? answer::declined
                                                     : answer::failed;
     done.spoilt = h.status == 200 && !h.body.starts_with(id + " by ");
--- a/src/rehearse/stage_faults.cpp
+++ b/src/rehearse/stage_faults.cpp
@@ -31,7 +31,8 @@
 
 void Stage::befall(const Mishap& m) {
   const auto boxes = struck(m);
-  const std::string label = fmt::format("{} ({})", word(m.what), boxes.size() == 1 ? boxes[0]->name : fmt::format("{} boxes", boxes.size()));
+  const std::string label = fmt::format(
+      "{} ({})", word(m.what), boxes.size() == 1 ? boxes[0]->name : fmt::format("{} boxes", boxes.size()));
   const auto over = [&](std::function<void()> then, const std::string& what) {
     wrong_.insert(what);
     agenda_.in(m.span, [this, then = std::move(then), what] {
@@ -42,7 +43,11 @@
   };
   const auto each = [&](auto change, auto back) {
     for (auto* b : boxes) change(*b);
-    over([boxes, back] { for (auto* b : boxes) back(*b); }, label);
+    over(
+        [boxes, back] {
+          for (auto* b : boxes) back(*b);
+        },
+        label);
     say(label);
   };
   switch (m.what) {
@@ -71,24 +76,37 @@
     case trouble::list_behind:
       for (auto& list : lists_) list->behind(micros(m.size * 1e6));
       say(fmt::format("the list falls {:.1f} s behind", m.size));
-      return over([this] { for (auto& list : lists_) list->behind(0); }, "list-behind");
+      return over(
+          [this] {
+            for (auto& list : lists_) list->behind(0);
+          },
+          "list-behind");
     case trouble::list_broken:
       for (auto& list : lists_) list->broken(true);
       say("the list is broken");
-      return over([this] { for (auto& list : lists_) list->broken(false); }, "list-broken");
+      return over(
+          [this] {
+            for (auto& list : lists_) list->broken(false);
+          },
+          "list-broken");
     case trouble::hall_cut: {
-      const int hall = int(std::find(out_.grounds.halls.begin(), out_.grounds.halls.end(), m.hall) - out_.grounds.halls.begin());
+      const int hall = int(std::find(out_.grounds.halls.begin(), out_.grounds.halls.end(), m.hall) -
+                           out_.grounds.halls.begin());
       say("hall-cut " + m.hall);
       cut_off_.insert(hall);
       for (auto& b : boxes_)
         for (int h = 0; h < int(plan_.halls.size()); ++h)
           if (cut(b->hall, h)) fall_silent(*b, h);
-      return over([this, hall] {
-        cut_off_.erase(hall);
-        for (auto& b : boxes_)
-          for (int h = 0; h < int(plan_.halls.size()); ++h)
-            if (h != b->hall && !cut(b->hall, h) && (h == hall || b->hall == hall) && !b->silent && b->box->up()) speak_again(*b, h);
-      }, "hall-cut " + m.hall);
+      return over(
+          [this, hall] {
+            cut_off_.erase(hall);
+            for (auto& b : boxes_)
+              for (int h = 0; h < int(plan_.halls.size()); ++h)
+                if (h != b->hall && !cut(b->hall, h) && (h == hall || b->hall == hall) && !b->silent &&
+                    b->box->up())
+                  speak_again(*b, h);
+          },
+          "hall-cut " + m.hall);
     }
     case trouble::nodes_restart:
       return roll(m);
@@ -115,9 +133,12 @@
       lists_[b->tier]->changed(b->entry);
     });
     // It takes what comes until all have been told; then no more, and ends what it has.
-    const micros drained = begins + std::max<micros>(each / 2, plan_.list.notice + plan_.permissions.drain_grace);
+    const micros drained =
+        begins + std::max<micros>(each / 2, plan_.list.notice + plan_.permissions.drain_grace);
     agenda_.in(drained, [this, b] { b->box->drain(true); });
-    agenda_.in(drained + m.down, [this, b] { if (b->box->up()) die(*b, false); });
+    agenda_.in(drained + m.down, [this, b] {
+      if (b->box->up()) die(*b, false);
+    });
     agenda_.in(drained + 2 * m.down, [this, b] { revive(*b); });
   }
 }
--- a/src/rehearse/stage_list.cpp
+++ b/src/rehearse/stage_list.cpp
@@ -3,12 +3,15 @@
 
 namespace robinpin::rehearse {
 
-std::string Stage::list_json(const NodeHost& n, const std::vector<model::Entry>& entries, long long version, bool all) const {
+std::string Stage::list_json(const NodeHost& n, const std::vector<model::Entry>& entries, long long version,
+                             bool all) const {
   std::string out = fmt::format(R"({{"rev":{},"all":{},"targets":[)", version, all ? "true" : "false");
   bool first = true;
   for (const auto& e : entries) {
     const BoxHost& b = *box(e.uid);
-    const char* is = e.is == model::state::ready ? "Ready" : e.is == model::state::draining ? "Terminating" : "Gone";
+    const char* is = e.is == model::state::ready      ? "Ready"
+                     : e.is == model::state::draining ? "Terminating"
+                                                      : "Gone";
     const auto boot = e.started == 0 ? 0 : unix_start_ms_ + e.started / 1000;
     out += fmt::format(
         R"({}{{"uid":"{}","endpoint":"{}","az":"{}","model":"{}","pod_group":{},"state":"{}","capacity_hint":{:.3f},"boot_ms":{}}})",
@@ -37,7 +40,8 @@
       return found == std::string::npos ? -1LL : std::atoll(target.c_str() + found + std::strlen(name));
     };
     const long long after = figure("after=");
-    const auto until = steady::now() + std::chrono::milliseconds(std::clamp(figure("wait_ms="), 0LL, 60'000LL));
+    const auto until =
+        steady::now() + std::chrono::milliseconds(std::clamp(figure("wait_ms="), 0LL, 60'000LL));
     bool all = false;
     std::vector<model::Entry> news;
     for (;;) {
@@ -59,7 +63,8 @@
     }
     if (when > now()) co_await sleep(when - now());
     const std::string body = list_json(n, news, list_of(n).version(), all);
-    if (!co_await p->write(fmt::format("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}", body.size(), body))) co_return;
+    if (!co_await p->write(fmt::format("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}", body.size(), body)))
+      co_return;
     std::set<int> told;
     for (const auto& e : news) {
       remember(n, e);
--- a/src/rehearse/stage_nodes.cpp
+++ b/src/rehearse/stage_nodes.cpp
@@ -43,7 +43,8 @@
         throw std::runtime_error(fmt::format("{} did not start (exit code {}); its log: {}/{}.log", n->name,
                                              n->daemon->ended().value_or(-1), setup_.out, n->name));
   }
-  if (!all_ready()) throw std::runtime_error("nodes are not ready after 20 s; their logs are in " + setup_.out);
+  if (!all_ready())
+    throw std::runtime_error("nodes are not ready after 20 s; their logs are in " + setup_.out);
 }
 
 void Stage::start(NodeHost& n) {
@@ -61,15 +62,23 @@
     n.believed = true;
     return;
   }
-  NodeFacts facts{n.name, text_of(n.listen), text_of(n.list), plan_.halls[std::size_t(n.hall)].name, n.known,
-                  int(n.tier), n.me, n.nodes, model::mixed(setup_.seed * 1009 + std::uint64_t(n.number * 100 + n.starts))};
+  NodeFacts facts{n.name,
+                  text_of(n.listen),
+                  text_of(n.list),
+                  plan_.halls[std::size_t(n.hall)].name,
+                  n.known,
+                  int(n.tier),
+                  n.me,
+                  n.nodes,
+                  model::mixed(setup_.seed * 1009 + std::uint64_t(n.number * 100 + n.starts))};
   const std::string file = fmt::format("{}/{}.json", setup_.out, n.name);
   std::ofstream(file) << node_json(plan_, facts);
   Daemon::Start how;
   how.command = {setup_.daemon, "serve"};
   if (!plan_.config.empty())
-    how.command.insert(how.command.end(),
-                       {"--config", (std::filesystem::path(plan_.path).parent_path() / plan_.config).string()});
+    how.command.insert(
+        how.command.end(),
+        {"--config", (std::filesystem::path(plan_.path).parent_path() / plan_.config).string()});
   how.environment = {{"EDGE_CONFIG", file}};
   how.log = fmt::format("{}/{}.log", setup_.out, n.name);
   how.sockets = plan_.sockets;
@@ -82,7 +91,8 @@
 awaitable<void> Stage::await_ready(NodeHost& n) {
   const int start = n.starts;
   while (n.meant && n.starts == start && n.daemon->running()) {
-    const Heard h = co_await asker_.ask(n.listen, "GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n", steady::now() + 200ms, [] {});
+    const Heard h = co_await asker_.ask(n.listen, "GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n",
+                                        steady::now() + 200ms, [] {});
     if (h.how == came::answered && h.status == 200) {
       n.believed = n.meant && n.starts == start;
       co_return;
@@ -108,15 +118,18 @@
 void Stage::roll(const Mishap& m) {
   std::vector<NodeHost*> all;
   for (auto& n : nodes_)
-    if (n->tier == 0 && (m.hall.empty() || plan_.halls[std::size_t(n->hall)].name == m.hall)) all.push_back(n.get());
+    if (n->tier == 0 && (m.hall.empty() || plan_.halls[std::size_t(n->hall)].name == m.hall))
+      all.push_back(n.get());
   model::Chance chance(setup_.seed, "roll", std::uint64_t(&m - plan_.mishaps.data()));
   const auto wanted = std::size_t(std::max(1.0, std::round(m.share * double(all.size()))));
   while (all.size() > wanted) all.erase(all.begin() + std::ptrdiff_t(chance.one_of(all.size())));
   const std::size_t batches = (all.size() + std::size_t(m.together) - 1) / std::size_t(m.together);
-  say(fmt::format("{} nodes restart, {} at once, {}", all.size(), m.together, m.killed ? "killed" : "told to end"));
+  say(fmt::format("{} nodes restart, {} at once, {}", all.size(), m.together,
+                  m.killed ? "killed" : "told to end"));
   for (std::size_t i = 0; i < all.size(); ++i) {
     NodeHost* n = all[i];
-    const micros at = micros(i / std::size_t(m.together)) * (m.span / micros(std::max<std::size_t>(1, batches)));
+    const micros at =
+        micros(i / std::size_t(m.together)) * (m.span / micros(std::max<std::size_t>(1, batches)));
     agenda_.in(at, [this, n, &m] { restart(*n, m.killed, m.down); });
   }
 }
@@ -131,18 +144,22 @@
     if (n.daemon) n.daemon->kill();
     n.plain.reset();
     forgive(n);
-    agenda_.in(plan_.front_notice, [&n, start_number] { if (n.starts == start_number) n.believed = false; });
+    agenda_.in(plan_.front_notice, [&n, start_number] {
+      if (n.starts == start_number) n.believed = false;
+    });
     agenda_.in(down, again);
     return;
   }
   n.daemon->tell(SIGTERM);
   agenda_.in(300'000, [&n] { n.believed = false; });
-  // It has its longest expiry (3 s at most) and 0.7 s more; a node that does not end is ended, and has failed.
+  // It has its longest expiry (3 s at most) and 0.7 s more; a node that does not end is ended, and has
+  // failed.
   const micros patience = std::min<micros>(longest_expiry(), 3 * second) + 700'000;
   spawn([this, &n, down, patience, again]() -> awaitable<void> {
     const micros until = now() + patience;
     while (n.daemon->running() && now() < until) co_await sleep(20'000);
-    if (n.daemon->running()) out_.crashed.push_back(n.name + " did not end when told to");
+    if (n.daemon->running())
+      out_.crashed.push_back(n.name + " did not end when told to");
     else if (n.daemon->ended().value_or(0) != 0)
       out_.crashed.push_back(fmt::format("{} ended with {} when told to end", n.name, *n.daemon->ended()));
     n.daemon->kill();
@@ -154,18 +171,20 @@
 void Stage::look_after_nodes() {
   for (auto& n : nodes_)
     if (n->meant && n->daemon && !n->daemon->running()) {
-      out_.crashed.push_back(fmt::format("{} ended by itself with {}", n->name, n->daemon->ended().value_or(-1)));
+      out_.crashed.push_back(
+          fmt::format("{} ended by itself with {}", n->name, n->daemon->ended().value_or(-1)));
       say(out_.crashed.back());
       n->meant = n->believed = false;
-      agenda_.in(second, [this, host = n.get(), starts = n->starts] { if (host->starts == starts) start(*host); });
+      agenda_.in(second, [this, host = n.get(), starts = n->starts] {
+        if (host->starts == starts) start(*host);
+      });
     }
 }
 
 std::vector<PlainNode::Target> Stage::boxes_for(const NodeHost& n) const {
   std::vector<PlainNode::Target> all;
   for (const auto& e : list_of(n).whole())
-    if (e.is == model::state::ready)
-      all.push_back({e.uid, box_at(box(e.uid)->number, n.hall)});
+    if (e.is == model::state::ready) all.push_back({e.uid, box_at(box(e.uid)->number, n.hall)});
   return all;
 }
 
--- a/src/rehearse/stage_parts.h
+++ b/src/rehearse/stage_parts.h
@@ -1,5 +1,5 @@
-// What the parts of a rehearsal on sockets share: boxes, list, clients, daemons and timeline stand in a file each, over one state.
-// Included by those alone.
+// What the parts of a rehearsal on sockets share: boxes, list, clients, daemons and timeline stand in a file
+// each, over one state. Included by those alone.
 #pragma once
 
 #include <fmt/format.h>
@@ -33,11 +33,14 @@
 inline constexpr micros second = 1'000'000;
 inline constexpr auto ready_limit = 20s;
 
-inline std::string text_of(const tcp::endpoint& e) { return fmt::format("{}:{}", e.address().to_string(), e.port()); }
+inline std::string text_of(const tcp::endpoint& e) {
+  return fmt::format("{}:{}", e.address().to_string(), e.port());
+}
 
 class Stage {
  public:
-  Stage(const Plan& plan, const Setup& setup) : plan_(plan), setup_(setup), agenda_(0), asker_(io_), timer_(io_) {
+  Stage(const Plan& plan, const Setup& setup)
+      : plan_(plan), setup_(setup), agenda_(0), asker_(io_), timer_(io_) {
     for (std::size_t i = 0; i < plan.tiers.size(); ++i)
       lists_.push_back(std::make_unique<model::List>(agenda_, plan.list));
     out_.grounds.drain_grace = plan.permissions.drain_grace;
@@ -78,9 +81,10 @@
     std::unique_ptr<Daemon> daemon;
     std::unique_ptr<PlainNode> plain;
     std::string known;
-    std::map<int, bool> told;   // of each box, whether it serves
+    std::map<int, bool> told;  // of each box, whether it serves
     std::map<int, micros> starts_told;
-    bool believed = false, meant = false;  // taken for alive by the front; to be alive, as far as the plan goes
+    bool believed = false,
+         meant = false;  // taken for alive by the front; to be alive, as far as the plan goes
   };
   micros now() const;
   steady::time_point at(micros t) const { return start_ + std::chrono::microseconds(t); }
@@ -115,7 +119,8 @@
 
   model::List& list_of(const NodeHost& n) const { return *lists_[n.tier]; }
 
-  std::string list_json(const NodeHost& n, const std::vector<model::Entry>& entries, long long version, bool all) const;
+  std::string list_json(const NodeHost& n, const std::vector<model::Entry>& entries, long long version,
+                        bool all) const;
 
   const BoxHost* box(const std::string& name) const {
     for (const auto& b : boxes_)
@@ -145,8 +150,10 @@
 
   double work_of(const Try& t) const;
   Try by_hand(const codec::Message& m, const std::string& id, micros wait) const;
-  std::string request(const std::string& id, int scheme, int tenant, micros left, const std::string& mark, bool repeat = false) const;
-  awaitable<void> call_next(BoxHost& b, std::uint64_t job, Try caller, std::size_t posting, int n, micros expiry, std::string mark);
+  std::string request(const std::string& id, int scheme, int tenant, micros left, const std::string& mark,
+                      bool repeat = false) const;
+  awaitable<void> call_next(BoxHost& b, std::uint64_t job, Try caller, std::size_t posting, int n,
+                            micros expiry, std::string mark);
   awaitable<Heard> ask(Try t, NodeHost& node, std::string text);
 
   // ---- clients
@@ -194,8 +201,9 @@
   Outcome out_;
   asio::io_context io_{1};
   const steady::time_point start_ = steady::now();
-  const std::int64_t unix_start_ms_ =
-      std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::system_clock::now().time_since_epoch()).count();
+  const std::int64_t unix_start_ms_ = std::chrono::duration_cast<std::chrono::milliseconds>(
+                                          std::chrono::system_clock::now().time_since_epoch())
+                                          .count();
   model::Agenda agenda_;
   std::vector<std::unique_ptr<model::List>> lists_;  // a tier's each
   Asker asker_;
--- a/src/rehearse/ways.cpp
+++ b/src/rehearse/ways.cpp
@@ -26,7 +26,8 @@
 };
 
 struct Ways::Line {
-  Line(asio::io_context& io, tcp::socket c, std::shared_ptr<Relay> r) : caller(std::move(c)), called(io), again(io), relay(std::move(r)) {}
+  Line(asio::io_context& io, tcp::socket c, std::shared_ptr<Relay> r)
+      : caller(std::move(c)), called(io), again(io), relay(std::move(r)) {}
   void end() {
     asio::error_code ignored;
     caller.close(ignored);
@@ -112,15 +113,18 @@
 // Reads and drops the answers to what was brought a second time.
 awaitable<void> Ways::second(std::shared_ptr<Line> line) {
   std::vector<char> bytes(16384);
-  for (asio::error_code error; !error;) co_await line->again.async_read_some(asio::buffer(bytes), redirect_error(use_awaitable, error));
+  for (asio::error_code error; !error;)
+    co_await line->again.async_read_some(asio::buffer(bytes), redirect_error(use_awaitable, error));
 }
 
-awaitable<void> Ways::pump(std::shared_ptr<Line> line, tcp::socket& from, tcp::socket& to, Way& way, bool call) {
+awaitable<void> Ways::pump(std::shared_ptr<Line> line, tcp::socket& from, tcp::socket& to, Way& way,
+                           bool call) {
   std::vector<char> bytes(65536);
   asio::steady_timer pause(io_);
   for (;;) {
     asio::error_code error;
-    const std::size_t n = co_await from.async_read_some(asio::buffer(bytes), redirect_error(use_awaitable, error));
+    const std::size_t n =
+        co_await from.async_read_some(asio::buffer(bytes), redirect_error(use_awaitable, error));
     if (error) {
       // A lost way loses an end, too: the other side is told nothing.
       if (way.lost) co_return;
@@ -146,13 +150,15 @@
         co_await line->again.async_connect(line->relay->listens, redirect_error(use_awaitable, error));
         if (!error) asio::co_spawn(io_, second(line), asio::detached);
       }
-      co_await asio::async_write(line->again, asio::buffer(bytes.data(), n), redirect_error(use_awaitable, error));
+      co_await asio::async_write(line->again, asio::buffer(bytes.data(), n),
+                                 redirect_error(use_awaitable, error));
     }
     std::size_t most = n;
     if (way.reset_after >= 0) most = std::min<std::size_t>(n, std::size_t(way.reset_after));
     for (std::size_t at = 0; at < most;) {
       const std::size_t piece = way.dribble > 0 ? std::min(way.dribble, most - at) : most - at;
-      co_await asio::async_write(to, asio::buffer(bytes.data() + at, piece), redirect_error(use_awaitable, error));
+      co_await asio::async_write(to, asio::buffer(bytes.data() + at, piece),
+                                 redirect_error(use_awaitable, error));
       if (error) {
         reset(from);
         co_return;
--- a/src/rehearse/ways.h
+++ b/src/rehearse/ways.h
@@ -1,5 +1,6 @@
-// The ways between processes, and how they break: a relay for each ordered pair, through which one process calls another.
-// What goes one way can be lost, slow, dribbled, cut off at a byte or brought twice, and the other way be whole.
+// The ways between processes, and how they break: a relay for each ordered pair, through which one process
+// calls another. What goes one way can be lost, slow, dribbled, cut off at a byte or brought twice, and the
+// other way be whole.
 #pragma once
 
 #include <asio.hpp>
@@ -18,19 +19,20 @@
 
 // One direction between two processes, whoever of the two opened the connection.
 struct Way {
-  bool lost = false;       // what is sent goes nowhere, and nobody is told
-  bool refused = false;    // connections are reset, and new ones too
-  micros delay = 0;        // each piece waits so long
-  std::size_t dribble = 0; // bytes at once, 2 ms apart; 0: all
+  bool lost = false;           // what is sent goes nowhere, and nobody is told
+  bool refused = false;        // connections are reset, and new ones too
+  micros delay = 0;            // each piece waits so long
+  std::size_t dribble = 0;     // bytes at once, 2 ms apart; 0: all
   long long reset_after = -1;  // bytes until a reset; -1: none
-  bool twice = false;      // a call comes a second time, on a connection of its own
-  std::uint64_t hurt = 0;  // pieces that a fault has met: none, and it was in vain
+  bool twice = false;          // a call comes a second time, on a connection of its own
+  std::uint64_t hurt = 0;      // pieces that a fault has met: none, and it was in vain
   bool whole() const { return !lost && !refused && delay == 0 && dribble == 0 && reset_after < 0 && !twice; }
 };
 
 class Ways {
  public:
-  // `from` calls `to`, which listens there, by the address that this returns. Throws std::system_error if none can be had.
+  // `from` calls `to`, which listens there, by the address that this returns. Throws std::system_error if
+  // none can be had.
   tcp::endpoint open(int from, int to, tcp::endpoint listens, asio::ip::address at);
   explicit Ways(asio::io_context& io) : io_(io) {}
   ~Ways();
--- a/src/rumour/roll.h
+++ b/src/rumour/roll.h
@@ -1,5 +1,5 @@
-// Who is there: one record for each machine, with the server beside it. Only its owner writes it; the core may mark it
-// lapsed, and a word of the owner's takes that back. Free of I/O and clocks.
+// Who is there: one record for each machine, with the server beside it. Only its owner writes it; the core
+// may mark it lapsed, and a word of the owner's takes that back. Free of I/O and clocks.
 #pragma once
 
 #include <array>
@@ -64,11 +64,14 @@
   const Entries& entries() const { return entries_; }
   const creed::Digest& digest() const { return digest_; }
   std::uint64_t changes() const { return changes_; }
-  static std::size_t part_of(Machine m) { return (std::uint64_t(m) * 0x9e3779b97f4a7c15U >> 33) % creed::parts; }
+  static std::size_t part_of(Machine m) {
+    return (std::uint64_t(m) * 0x9e3779b97f4a7c15U >> 33) % creed::parts;
+  }
 
  private:
   static std::uint64_t print_of(const Record& r) {
-    return creed::hashed({reinterpret_cast<const char*>(&r.word), sizeof r.word}, r.life * 2 + (r.lapsed ? 1 : 0) + (std::uint64_t(r.machine) << 32));
+    return creed::hashed({reinterpret_cast<const char*>(&r.word), sizeof r.word},
+                         r.life * 2 + (r.lapsed ? 1 : 0) + (std::uint64_t(r.machine) << 32));
   }
   Entries entries_;
   creed::Digest digest_{};
--- a/src/rumour/rumour.cpp
+++ b/src/rumour/rumour.cpp
@@ -6,18 +6,22 @@
 namespace robinpin::rumour {
 
 namespace {
-constexpr std::int64_t eager = 100'000, calm = 1'600'000;  // between digests of a node that is not caught up: each time longer
+constexpr std::int64_t eager = 100'000,
+                       calm = 1'600'000;  // between digests of a node that is not caught up: each time longer
 constexpr std::int64_t heard_lately = 1'600'000;
 constexpr std::size_t most_records = 8;  // in a datagram
-constexpr int lease_told = 3;            // successive rounds in which a core tells of a renewal: some may be lost
-constexpr std::size_t few_items = 8;     // sent without a listing first
-constexpr std::size_t flood = 32;        // news of items within `flood_span`
+constexpr int lease_told = 3;  // successive rounds in which a core tells of a renewal: some may be lost
+constexpr std::size_t few_items = 8;  // sent without a listing first
+constexpr std::size_t flood = 32;     // news of items within `flood_span`
 constexpr std::int64_t flood_span = 500'000;
 
-bool among(const std::vector<Machine>& all, Machine m) { return std::find(all.begin(), all.end(), m) != all.end(); }
+bool among(const std::vector<Machine>& all, Machine m) {
+  return std::find(all.begin(), all.end(), m) != all.end();
+}
 }  // namespace
 
-Rumour::Rumour(Self self, std::uint64_t life, std::vector<Machine> seeds, creed::Creed& creed, std::uint32_t chance)
+Rumour::Rumour(Self self, std::uint64_t life, std::vector<Machine> seeds, creed::Creed& creed,
+               std::uint32_t chance)
     : self_(std::move(self)), seeds_(std::move(seeds)), creed_(creed), chance_(chance), next_core_(chance) {
   own_.machine = self_.machine;
   own_.life = life;
@@ -85,9 +89,12 @@
   return t;
 }
 
-void Rumour::send_digest(Machine to, bool answer, Outbox& out) const { out.push_back({to, written(kind::digest, told(answer))}); }
+void Rumour::send_digest(Machine to, bool answer, Outbox& out) const {
+  out.push_back({to, written(kind::digest, told(answer))});
+}
 
-// To the other cores, and what was heard since it was last told; the first piece is a digest like any, the others carry no more.
+// To the other cores, and what was heard since it was last told; the first piece is a digest like any, the
+// others carry no more.
 void Rumour::send_leases(std::int64_t now, Outbox& out) {
   std::vector<Lease> due;
   for (auto& [m, r] : leases_)
@@ -106,7 +113,8 @@
   }
 }
 
-// What another core told counts as news to be told on only of a machine that this core does not hear: the link between two others may be cut.
+// What another core told counts as news to be told on only of a machine that this core does not hear: the
+// link between two others may be cut.
 void Rumour::renew(std::int64_t now, Machine m, std::int64_t at, bool first_hand) {
   if (!roll_.find(m)) return;
   Renewal& r = leases_[m];
@@ -143,10 +151,12 @@
   if (!self_.core) floor_told_ = std::max(floor_told_, floor);
 }
 
-// Once a floor has been told of, an item at or below it may have been dropped and let go of, unless whoever holds it has let go
-// up to there, too: it then stood there. Without this what a listing has taken from one that was away for long would come back
-// from another, as long as its own floor is lower.
-bool Rumour::may_stand(std::uint64_t at, std::uint64_t holders_floor) const { return at == 0 || at > floor_told_ || holders_floor >= floor_told_; }
+// Once a floor has been told of, an item at or below it may have been dropped and let go of, unless whoever
+// holds it has let go up to there, too: it then stood there. Without this what a listing has taken from one
+// that was away for long would come back from another, as long as its own floor is lower.
+bool Rumour::may_stand(std::uint64_t at, std::uint64_t holders_floor) const {
+  return at == 0 || at > floor_told_ || holders_floor >= floor_told_;
+}
 
 creed::Digest Rumour::digest_without_dropped(std::uint64_t floor) const {
   creed::Digest d = creed_.digest();
@@ -158,13 +168,14 @@
 
 void Rumour::send_items(Machine to, std::vector<creed::Item> items, Outbox& out) const {
   if (items.empty()) return;
-  for (auto& piece : pieces_of(std::move(items))) out.push_back({to, written(kind::news, News{std::move(piece), {}, creed_.floor()})});
+  for (auto& piece : pieces_of(std::move(items)))
+    out.push_back({to, written(kind::news, News{std::move(piece), {}, creed_.floor()})});
 }
 
-// Of what differs a few items are sent as they are; of many, and of records, a listing says first how new each is. While
-// items come in by the hundred the gaps are those that are about to be filled: nothing is said of them. Of two floors it is the
-// lower one's node that lists, as it alone can tell what differs by old tombstones only; the other's answer has told it how high.
-// Between cores nothing is said of items.
+// Of what differs a few items are sent as they are; of many, and of records, a listing says first how new
+// each is. While items come in by the hundred the gaps are those that are about to be filled: nothing is said
+// of them. Of two floors it is the lower one's node that lists, as it alone can tell what differs by old
+// tombstones only; the other's answer has told it how high. Between cores nothing is said of items.
 void Rumour::send_gaps(std::int64_t now, Machine to, const Told& theirs, Outbox& out) const {
   Scope of;
   const bool lower = creed_.floor() < theirs.floor, level = creed_.floor() == theirs.floor;
@@ -184,7 +195,8 @@
     }
     if (level && theirs.answer) of.items = 0;
   }
-  // One of the two lists what it holds: the other sends what that lacks, and lists in turn where it lacks something itself.
+  // One of the two lists what it holds: the other sends what that lacks, and lists in turn where it lacks
+  // something itself.
   if (!theirs.answer)
     for (std::size_t p = 0; p < creed::parts; ++p)
       if (theirs.records[p] != roll_.digest()[p]) of.records |= 1U << p;
@@ -199,7 +211,7 @@
   K first, last;
 };
 template <typename T, typename K>
-std::vector<Piece<T, K>> pieces(std::vector<T> all, K first, K last, K T::* key) {
+std::vector<Piece<T, K>> pieces(std::vector<T> all, K first, K last, K T::*key) {
   std::sort(all.begin(), all.end(), [&](const T& a, const T& b) { return a.*key < b.*key; });
   std::vector<Piece<T, K>> cut;
   for (auto at = all.begin(); cut.empty() || at != all.end();) {
@@ -223,7 +235,8 @@
   if (of.items != 0)
     for (const auto& [name, item] : creed_.items()) {
       if (item.dropped && item.at != 0 && item.at <= floor_told_) continue;  // about to be let go of
-      if (const auto hash = creed::hashed(name); of.item(hash)) items.push_back({hash, item.at, item.version});
+      if (const auto hash = creed::hashed(name); of.item(hash))
+        items.push_back({hash, item.at, item.version});
     }
   auto of_records = pieces(std::move(records), of.first, of.last, &Listed::machine);
   auto of_items = pieces(std::move(items), of.first_name, of.last_name, &ListedItem::name);
@@ -231,8 +244,12 @@
   if (of.items == 0) of_items.clear();
   for (std::size_t p = 0; p < std::max(of_records.size(), of_items.size()); ++p) {
     Listing l{answer, self_.core, creed_.floor(), {}, {}, {}};
-    if (p < of_records.size()) l.of.records = of.records, l.of.first = of_records[p].first, l.of.last = of_records[p].last, l.records = std::move(of_records[p].listed);
-    if (p < of_items.size()) l.of.items = of.items, l.of.first_name = of_items[p].first, l.of.last_name = of_items[p].last, l.items = std::move(of_items[p].listed);
+    if (p < of_records.size())
+      l.of.records = of.records, l.of.first = of_records[p].first, l.of.last = of_records[p].last,
+      l.records = std::move(of_records[p].listed);
+    if (p < of_items.size())
+      l.of.items = of.items, l.of.first_name = of_items[p].first, l.of.last_name = of_items[p].last,
+      l.items = std::move(of_items[p].listed);
     out.push_back({to, written(kind::listing, l)});
   }
 }
@@ -251,10 +268,13 @@
     for (const auto& [m, e] : roll_.entries()) {
       if (!theirs.of.record(m)) continue;
       const auto it = told.find(m);
-      if (it == told.end() || newer(e.record, it->second)) news.records.push_back(e.record);
-      else if (newer(it->second, e.record)) lacks.records |= 1U << Roll::part_of(m);
+      if (it == told.end() || newer(e.record, it->second))
+        news.records.push_back(e.record);
+      else if (newer(it->second, e.record))
+        lacks.records |= 1U << Roll::part_of(m);
       if (it != told.end()) told.erase(it);
-      if (news.records.size() >= most_records) out.push_back({from, written(kind::news, std::exchange(news, {}))});
+      if (news.records.size() >= most_records)
+        out.push_back({from, written(kind::news, std::exchange(news, {}))});
     }
   for (const auto& [m, r] : told) lacks.records |= 1U << Roll::part_of(m);
   if (!news.records.empty()) out.push_back({from, written(kind::news, news)});
@@ -270,23 +290,29 @@
       if (!theirs.of.item(hash)) continue;
       const auto it = listed.find(hash);
       if (it == listed.end()) {
-        // A core holds a state that was settled, whatever has been since. What was settled up to its floor stands in it, or was
-        // overtaken there, or was dropped and let go of: what it does not list of that was dropped. So it is however stale that
-        // core is, as a name that was set once more since has a number above its floor.
-        if (theirs.core && !self_.core && item.at != 0 && item.at <= theirs.floor) gone.push_back(name);
-        else if (may_stand(item.at, creed_.floor())) items.push_back(item);
+        // A core holds a state that was settled, whatever has been since. What was settled up to its floor
+        // stands in it, or was overtaken there, or was dropped and let go of: what it does not list of that
+        // was dropped. So it is however stale that core is, as a name that was set once more since has a
+        // number above its floor.
+        if (theirs.core && !self_.core && item.at != 0 && item.at <= theirs.floor)
+          gone.push_back(name);
+        else if (may_stand(item.at, creed_.floor()))
+          items.push_back(item);
         continue;
       }
       const creed::Item other{{}, it->second->version, false, {}, it->second->at};
-      if (creed::newer(item, other)) items.push_back(item);
-      else if (!self_.core && creed::newer(other, item)) lacks.items |= 1U << creed::part_of(hash);
+      if (creed::newer(item, other))
+        items.push_back(item);
+      else if (!self_.core && creed::newer(other, item))
+        lacks.items |= 1U << creed::part_of(hash);
       listed.erase(it);
     }
   for (const auto& name : gone) creed_.erase(name);
   if (!theirs.core) send_items(from, std::move(items), out);
   // A core lacks nothing that others have; it lists in turn what it has let go of, so that they do.
   for (const auto& [hash, i] : listed)
-    if (const bool gone_here = i->at != 0 && i->at <= creed_.floor(); self_.core ? gone_here : !gone_here && may_stand(i->at, theirs.floor))
+    if (const bool gone_here = i->at != 0 && i->at <= creed_.floor();
+        self_.core ? gone_here : !gone_here && may_stand(i->at, theirs.floor))
       lacks.items |= 1U << creed::part_of(hash);
   if (!theirs.answer) send_listing(from, lacks, true, out);
 }
@@ -331,7 +357,9 @@
     if (!theirs.cores.empty() && theirs.whole && theirs.epoch >= epoch_) cores(theirs.cores, theirs.epoch);
     floor_told(theirs.floor);
     // It differs from a whole copy by nothing but tombstones that have been let go of there.
-    if (theirs.core && theirs.whole && theirs.floor > creed_.floor() && digest_without_dropped(theirs.floor) == theirs.items) creed_.let_go(theirs.floor);
+    if (theirs.core && theirs.whole && theirs.floor > creed_.floor() &&
+        digest_without_dropped(theirs.floor) == theirs.items)
+      creed_.let_go(theirs.floor);
   }
   const bool same = theirs.items == creed_.digest();
   if (theirs.core && theirs.whole) {
@@ -340,10 +368,11 @@
     if (!std::exchange(met_, true)) eager_ = 0, next_ = std::min(next_, now + eager);
   }
   if (!same || theirs.records != roll_.digest()) send_gaps(now, from, theirs, out);
-  // Whose items differ sends its own back, too; who begins learns by the answer that it has all, who is behind how far others have
-  // let go and who is core. Cores learn all that from each other in another way.
+  // Whose items differ sends its own back, too; who begins learns by the answer that it has all, who is
+  // behind how far others have let go and who is core. Cores learn all that from each other in another way.
   const bool behind = theirs.floor < creed_.floor() || theirs.epoch < epoch_;
-  if (!theirs.answer && (!theirs.whole || (!(self_.core && theirs.core) && (!same || behind)))) send_digest(from, true, out);
+  if (!theirs.answer && (!theirs.whole || (!(self_.core && theirs.core) && (!same || behind))))
+    send_digest(from, true, out);
 }
 
 void Rumour::heard(std::int64_t now, Machine from, std::string_view datagram, Outbox& out) {
@@ -374,8 +403,10 @@
     to = cores_;
     to.insert(to.end(), seeds_.begin(), seeds_.end());
   } else {
-    if (self_.core) send_leases(now, out);
-    else if (!cores_.empty()) to.push_back(cores_[next_core_++ % cores_.size()]);
+    if (self_.core)
+      send_leases(now, out);
+    else if (!cores_.empty())
+      to.push_back(cores_[next_core_++ % cores_.size()]);
     for (const Machine m : some(1, 0))
       if (!self_.core || !among(cores_, m)) to.push_back(m);
   }
@@ -387,11 +418,14 @@
   if (self_.core) sweep(now, out);
 }
 
-// Only a core that has heard a majority of the core for a whole term, and so all leases, may tell that one has run out.
+// Only a core that has heard a majority of the core for a whole term, and so all leases, may tell that one
+// has run out.
 void Rumour::sweep(std::int64_t now, Outbox& out) {
   std::size_t heard = 1;
   for (const Machine m : cores_)
-    if (const auto it = cores_heard_.find(m); m != self_.machine && it != cores_heard_.end() && now - it->second < heard_lately) ++heard;
+    if (const auto it = cores_heard_.find(m);
+        m != self_.machine && it != cores_heard_.end() && now - it->second < heard_lately)
+      ++heard;
   if (2 * heard <= cores_.size()) {
     with_majority_ = 0;
     return;
--- a/src/rumour/rumour.h
+++ b/src/rumour/rumour.h
@@ -1,6 +1,6 @@
-// How news reaches every node: passed on to a few others at once, gaps mended by comparing digests. Members renew their
-// leases at the core by the same digests; the core marks who has lapsed. Items go from the core to the others only, and each is
-// settled. Told the time, free of I/O.
+// How news reaches every node: passed on to a few others at once, gaps mended by comparing digests. Members
+// renew their leases at the core by the same digests; the core marks who has lapsed. Items go from the core
+// to the others only, and each is settled. Told the time, free of I/O.
 #pragma once
 
 #include <cstdint>
@@ -31,11 +31,12 @@
 
 class Rumour {
  public:
-  static constexpr std::int64_t round = 500'000;        // microseconds between digests
+  static constexpr std::int64_t round = 500'000;         // microseconds between digests
   static constexpr std::int64_t lease_term = 5'000'000;  // unheard for so long a member has lapsed
   static constexpr std::size_t told_to = 3;              // others that news is passed on to at once
 
-  Rumour(Self self, std::uint64_t life, std::vector<Machine> seeds, creed::Creed& creed, std::uint32_t chance);
+  Rumour(Self self, std::uint64_t life, std::vector<Machine> seeds, creed::Creed& creed,
+         std::uint32_t chance);
 
   // Own record: a change is passed on at once.
   void state(std::int64_t now, Record own, Outbox& out);
@@ -54,10 +55,11 @@
   // Who is core, as agreed in that epoch; 0: as seeds, not agreed.
   void cores(std::vector<Machine> known, std::uint64_t epoch = 0);
   void whole(bool is) { whole_ = is; }
-  // A node that begins holds enough once it has agreed with one core that says that it is whole, so has proved contact with a
-  // majority; a member's word is not enough. What was caught up stays so.
+  // A node that begins holds enough once it has agreed with one core that says that it is whole, so has
+  // proved contact with a majority; a member's word is not enough. What was caught up stays so.
   bool caught_up() const { return caught_up_; }
-  // Items that were news since this was last asked: none, as a core takes no items from rumours. Goes with the older core.
+  // Items that were news since this was last asked: none, as a core takes no items from rumours. Goes with
+  // the older core.
   std::vector<creed::Item> fresh() { return {}; }
 
  private:
@@ -90,9 +92,11 @@
   Lot near_, far_;  // those that are told: of the own zone, of others
   std::mt19937 chance_;
   std::int64_t next_ = 0, eager_ = 0;
-  std::size_t next_core_;  // an ambit asks them in turn: no core that is up goes unasked for longer than it takes to ask all
+  std::size_t next_core_;  // an ambit asks them in turn: no core that is up goes unasked for longer than it
+                           // takes to ask all
   bool whole_ = false, caught_up_ = false, met_ = false;  // `met_` a whole core, ever
-  std::uint64_t floor_told_ = 0;  // the highest that anyone told of; not kept by a core, which others settle for
+  std::uint64_t floor_told_ =
+      0;  // the highest that anyone told of; not kept by a core, which others settle for
   std::int64_t flood_from_ = 0, flood_until_ = 0;  // items come in by the hundred
   std::size_t flood_count_ = 0;
   struct Renewal {
--- a/src/rumour/wire.h
+++ b/src/rumour/wire.h
@@ -1,4 +1,5 @@
-// What the mesh's processes say to each other, as datagrams by cereal. A datagram that can't be read is dropped.
+// What the mesh's processes say to each other, as datagrams by cereal. A datagram that can't be read is
+// dropped.
 #pragma once
 
 #include <cereal/archives/binary.hpp>
@@ -21,7 +22,8 @@
 // Reads a datagram in place. Unlike cereal's own it believes no length beyond the bytes that are there.
 class Reading : public cereal::InputArchive<Reading, cereal::AllowEmptyClassElision> {
  public:
-  explicit Reading(std::string_view bytes) : cereal::InputArchive<Reading, cereal::AllowEmptyClassElision>(this), left_(bytes) {}
+  explicit Reading(std::string_view bytes)
+      : cereal::InputArchive<Reading, cereal::AllowEmptyClassElision>(this), left_(bytes) {}
   void take(void* to, std::size_t size) {
     if (size > left_.size()) throw cereal::Exception("cut short");
     if (size > 0) std::memcpy(to, left_.data(), size);  // an empty list has no place to copy to
@@ -73,7 +75,7 @@
   }
 };
 
-struct Told {  // by which gaps are found; a member's renews its lease at a core
+struct Told {           // by which gaps are found; a member's renews its lease at a core
   bool answer = false;  // not to be answered by another
   bool whole = false;   // its sender holds all that a majority of the core does
   creed::Digest items{}, records{};
@@ -99,7 +101,7 @@
   }
 };
 
-struct ListedItem {  // how new an item is that its sender holds
+struct ListedItem {                             // how new an item is that its sender holds
   std::uint64_t name = 0, at = 0, version = 0;  // its name's hash
   template <typename A>
   void serialize(A& a) {
@@ -107,13 +109,16 @@
   }
 };
 
-// What a listing is whole for: parts, and of each the machines and the hashes of names from `first` to `last`.
+// What a listing is whole for: parts, and of each the machines and the hashes of names from `first` to
+// `last`.
 struct Scope {
   std::uint32_t records = 0, items = 0;  // a bit a part
   Machine first = 0, last = ~Machine(0);
   std::uint64_t first_name = 0, last_name = ~std::uint64_t(0);
   bool record(Machine m) const { return (records >> Roll::part_of(m) & 1U) && m >= first && m <= last; }
-  bool item(std::uint64_t name) const { return (items >> creed::part_of(name) & 1U) && name >= first_name && name <= last_name; }
+  bool item(std::uint64_t name) const {
+    return (items >> creed::part_of(name) & 1U) && name >= first_name && name <= last_name;
+  }
   bool empty() const { return records == 0 && items == 0; }
   template <typename A>
   void serialize(A& a) {
@@ -121,7 +126,8 @@
   }
 };
 
-struct Listing {  // of all records and items in the parts in which two differ: only what the other lacks is sent then
+struct Listing {  // of all records and items in the parts in which two differ: only what the other lacks is
+                  // sent then
   bool answer = false;
   bool core = false;        // its sender is a core machine
   std::uint64_t floor = 0;  // of its sender's copy
@@ -173,14 +179,16 @@
   }
 };
 
-// What is sent: news of 8 records, or of items up to 1.2 KB, of bulk 12 KB, or of one longer item (one that alone is beyond what is
-// taken never arrives: orders have to bound it); digests of 0.3 KB, 4 bytes a core and at most 6 KB of leases; listings of at most 41 KB.
+// What is sent: news of 8 records, or of items up to 1.2 KB, of bulk 12 KB, or of one longer item (one that
+// alone is beyond what is taken never arrives: orders have to bound it); digests of 0.3 KB, 4 bytes a core
+// and at most 6 KB of leases; listings of at most 41 KB.
 constexpr std::size_t longest_datagram = 60'000;  // taken
 constexpr std::size_t full_datagram = 1'200;      // no further item is put into one that holds so much
-// Where items come by the hundred each datagram is dear (a wake-up, a call, a sync at a core): fewer and larger ones.
+// Where items come by the hundred each datagram is dear (a wake-up, a call, a sync at a core): fewer and
+// larger ones.
 constexpr std::size_t bulk_datagram = 12'000, bulk = 16 * full_datagram;
-constexpr std::size_t leases_at_once = 1'000;     // in a digest of a core: 6 bytes each
-constexpr std::size_t listed_at_once = 1'000;     // records, and items, in a listing: 17 and 24 bytes each
+constexpr std::size_t leases_at_once = 1'000;  // in a digest of a core: 6 bytes each
+constexpr std::size_t listed_at_once = 1'000;  // records, and items, in a listing: 17 and 24 bytes each
 
 template <typename T>
 std::string written(kind k, const T& said) {
@@ -191,7 +199,9 @@
   return std::move(out).str();
 }
 
-inline kind kind_of(std::string_view datagram) { return datagram.empty() ? kind(0) : kind(std::uint8_t(datagram[0])); }
+inline kind kind_of(std::string_view datagram) {
+  return datagram.empty() ? kind(0) : kind(std::uint8_t(datagram[0]));
+}
 
 template <typename T>
 std::optional<T> read(std::string_view datagram) {
--- a/src/span/memory.h
+++ b/src/span/memory.h
@@ -14,7 +14,7 @@
  public:
   explicit Net(std::uint32_t seed) : chance_(seed) {}
   double loss = 0, doubled = 0;
-  std::int64_t least = 200, most = 3'000;  // microseconds on the way
+  std::int64_t least = 200, most = 3'000;     // microseconds on the way
   std::set<std::pair<Machine, Machine>> cut;  // from, to
   std::uint64_t sent = 0, bytes = 0;
 
@@ -23,7 +23,8 @@
     const int copies = 1 + (part() < doubled ? 1 : 0);
     for (int i = 0; i < copies; ++i)
       if (part() >= loss && !cut.contains({from, to}))
-        under_way_.emplace(now + least + std::int64_t(part() * double(most - least)), Letter{from, to, std::string(datagram)});
+        under_way_.emplace(now + least + std::int64_t(part() * double(most - least)),
+                           Letter{from, to, std::string(datagram)});
   }
   // Hands over all that has come by then, in order of time.
   void run(std::int64_t until) {
@@ -31,7 +32,8 @@
       const auto [at, letter] = *under_way_.begin();
       under_way_.erase(under_way_.begin());
       now = at;
-      if (const auto it = heard.find(letter.to); it != heard.end() && !cut.contains({letter.from, letter.to}) && it->second)
+      if (const auto it = heard.find(letter.to);
+          it != heard.end() && !cut.contains({letter.from, letter.to}) && it->second)
         it->second(letter.from, letter.bytes);
     }
     now = until;
--- a/src/span/span.h
+++ b/src/span/span.h
@@ -1,5 +1,5 @@
-// The contract of transport among the mesh's own processes: datagrams between machines, which may be lost, late, doubled
-// or out of order, and never come from elsewhere than they say.
+// The contract of transport among the mesh's own processes: datagrams between machines, which may be lost,
+// late, doubled or out of order, and never come from elsewhere than they say.
 #pragma once
 
 #include <boost/leaf/result.hpp>
--- a/src/span/udp.cpp
+++ b/src/span/udp.cpp
@@ -19,7 +19,9 @@
   asio::error_code wrong;
   u->socket_.open(udp::v4(), wrong);
   if (!wrong) u->socket_.bind({asio::ip::make_address_v4(self), port}, wrong);
-  if (wrong) return boost::leaf::new_error(trove::Trouble{"bind", text_of(self) + ":" + std::to_string(port), wrong.message()});
+  if (wrong)
+    return boost::leaf::new_error(
+        trove::Trouble{"bind", text_of(self) + ":" + std::to_string(port), wrong.message()});
   u->socket_.non_blocking(true);
   return u;
 }
@@ -28,7 +30,8 @@
 void Udp::send(Machine to, std::string_view datagram) {
   if (datagram.size() > rumour::longest_datagram) return;
   asio::error_code lost;
-  socket_.send_to(asio::buffer(datagram.data(), datagram.size()), {asio::ip::make_address_v4(to), port_}, 0, lost);
+  socket_.send_to(asio::buffer(datagram.data(), datagram.size()), {asio::ip::make_address_v4(to), port_}, 0,
+                  lost);
   ++sent, sent_bytes += datagram.size();
 }
 
--- a/src/span/udp.h
+++ b/src/span/udp.h
@@ -1,8 +1,8 @@
 // Datagrams over UDP, IPv4; the port is the same on every machine.
 #pragma once
 
-#include <asio.hpp>
 #include <array>
+#include <asio.hpp>
 #include <memory>
 
 #include "span.h"
--- a/src/standin/main.cpp
+++ b/src/standin/main.cpp
@@ -1,8 +1,9 @@
-// A stand-in application server for trying the mesh by hand: answers every request with its seal, tells that it is well,
-// and beats to the node beside it; at SIGTERM it drains, departs and ends. Written from PROTOCOL, no more than the example needs.
-#include <asio.hpp>
+// A stand-in application server for trying the mesh by hand: answers every request with its seal, tells that
+// it is well, and beats to the node beside it; at SIGTERM it drains, departs and ends. Written from PROTOCOL,
+// no more than the example needs.
 #include <fmt/format.h>
 
+#include <asio.hpp>
 #include <cstdio>
 #include <string>
 
@@ -33,16 +34,21 @@
     c->limit(node::steady::now() + call_limit);
     if (co_await c->connect(node::endpoint_of(control))) co_return false;
     std::size_t written = 0;
-    const std::string head = fmt::format("POST {} HTTP/1.1\r\nHost: {}\r\nContent-Type: application/json\r\nConnection: close\r\nContent-Length: {}\r\n\r\n", path, control, body.size());
+    const std::string head = fmt::format(
+        "POST {} HTTP/1.1\r\nHost: {}\r\nContent-Type: application/json\r\nConnection: "
+        "close\r\nContent-Length: {}\r\n\r\n",
+        path, control, body.size());
     if (co_await c->write(head, body, written)) co_return false;
     asio::error_code error;
     co_return co_await c->read(error) == codec::reading::complete && c->in.status() / 100 == 2;
   }
 
   awaitable<bool> beat() {
-    co_return co_await call("/v1/Servers.Heartbeat/" + id,
-                            fmt::format(R"({{"target":"{}","address":"{}","zone":"{}","revision":"v1","capacity":6,"state":"{}","warmup_left":"0ms","sequence":{}}})", service,
-                                        address, zone, draining ? "draining" : "admitted", ++sequence));
+    co_return co_await call(
+        "/v1/Servers.Heartbeat/" + id,
+        fmt::format(
+            R"({{"target":"{}","address":"{}","zone":"{}","revision":"v1","capacity":6,"state":"{}","warmup_left":"0ms","sequence":{}}})",
+            service, address, zone, draining ? "draining" : "admitted", ++sequence));
   }
 
   awaitable<void> beats() {
@@ -67,19 +73,25 @@
   awaitable<void> serve(std::shared_ptr<node::Connection> c) {
     for (;;) {
       asio::error_code error;
-      if ((c->in.whole() ? codec::reading::complete : co_await c->read(error)) != codec::reading::complete) co_return;
+      if ((c->in.whole() ? codec::reading::complete : co_await c->read(error)) != codec::reading::complete)
+        co_return;
       const auto meant = c->in.header("X-Target-Instance");
       std::string head, body;
       if (c->in.target() == "/probe") {
-        head = fmt::format("HTTP/1.1 {}\r\nX-Answering-Instance: {}\r\n", draining ? "503 Draining" : "200 OK", id);
+        head = fmt::format("HTTP/1.1 {}\r\nX-Answering-Instance: {}\r\n",
+                           draining ? "503 Draining" : "200 OK", id);
       } else if (!meant.empty() && meant != id) {
-        head = fmt::format("HTTP/1.1 421 Misdirected Request\r\nX-Answering-Instance: {}\r\nX-Not-Executed: 1\r\n", id);
+        head = fmt::format(
+            "HTTP/1.1 421 Misdirected Request\r\nX-Answering-Instance: {}\r\nX-Not-Executed: 1\r\n", id);
       } else {
-        body = fmt::format("{} of {} answers {} {} of {}\n", id, service, c->in.method(), c->in.target(), c->in.header("X-Caller-Service"));
-        head = fmt::format("HTTP/1.1 200 OK\r\nX-Attempt-Id: {}\r\nX-Server-Seal: {}.{}\r\n", c->in.header("X-Attempt-Id"), id, body.size());
+        body = fmt::format("{} of {} answers {} {} of {}\n", id, service, c->in.method(), c->in.target(),
+                           c->in.header("X-Caller-Service"));
+        head = fmt::format("HTTP/1.1 200 OK\r\nX-Attempt-Id: {}\r\nX-Server-Seal: {}.{}\r\n",
+                           c->in.header("X-Attempt-Id"), id, body.size());
       }
       std::size_t written = 0;
-      if (co_await c->write(fmt::format("{}Content-Length: {}\r\n\r\n", head, body.size()), body, written)) co_return;
+      if (co_await c->write(fmt::format("{}Content-Length: {}\r\n\r\n", head, body.size()), body, written))
+        co_return;
       if (!c->in.keep_alive() || c->in.next() == codec::reading::malformed) co_return;
     }
   }
@@ -97,7 +109,9 @@
     s.service = argv[1], s.address = argv[2], s.control = argv[3], s.zone = argv[4];
     s.id = fmt::format("i-{:08x}", std::random_device{}());
     node::listen_at(s.acceptor, node::endpoint_of(s.address), 128);
-    asio::co_spawn(s.io, port::accept(s.acceptor, s.sockets, limits, [&](auto c) { return s.serve(std::move(c)); }), asio::detached);
+    asio::co_spawn(s.io,
+                   port::accept(s.acceptor, s.sockets, limits, [&](auto c) { return s.serve(std::move(c)); }),
+                   asio::detached);
     asio::co_spawn(s.io, s.beats(), asio::detached);
     asio::signal_set signals(s.io, SIGTERM, SIGINT);
     signals.async_wait([&](asio::error_code, int) { asio::co_spawn(s.io, s.leave(), asio::detached); });
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -24,7 +24,7 @@
 
 namespace {
 
-constexpr int ours = 0x7270696e;        // the file's mark, "rpin"
+constexpr int ours = 0x7270696e;       // the file's mark, "rpin"
 constexpr int checkpoint_from = 1000;  // pages of the log that waits to be taken into the file
 
 struct broken : std::runtime_error {
@@ -35,7 +35,8 @@
 class Db {
  public:
   explicit Db(const std::string& path) {
-    const int code = sqlite3_open_v2(path.c_str(), &db_, SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE | SQLITE_OPEN_NOMUTEX, nullptr);
+    const int code = sqlite3_open_v2(
+        path.c_str(), &db_, SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE | SQLITE_OPEN_NOMUTEX, nullptr);
     if (code != SQLITE_OK) {
       const std::string what = db_ ? sqlite3_errmsg(db_) : "no memory";
       sqlite3_close(db_);
@@ -49,7 +50,8 @@
 
   void run(const char* sql) { must(sqlite3_exec(db_, sql, nullptr, nullptr, nullptr)); }
   void must(int code) const {
-    if (code != SQLITE_OK && code != SQLITE_DONE && code != SQLITE_ROW) throw broken(code & 0xff, sqlite3_errmsg(db_));
+    if (code != SQLITE_OK && code != SQLITE_DONE && code != SQLITE_ROW)
+      throw broken(code & 0xff, sqlite3_errmsg(db_));
   }
   sqlite3* raw() { return db_; }
 
@@ -59,7 +61,9 @@
 
 class Statement {
  public:
-  Statement(Db& db, const char* sql) : db_(db) { db.must(sqlite3_prepare_v2(db.raw(), sql, -1, &s_, nullptr)); }
+  Statement(Db& db, const char* sql) : db_(db) {
+    db.must(sqlite3_prepare_v2(db.raw(), sql, -1, &s_, nullptr));
+  }
   ~Statement() { sqlite3_finalize(s_); }
   Statement(const Statement&) = delete;
   Statement& operator=(const Statement&) = delete;
@@ -83,7 +87,8 @@
   }
   std::string text(int column) const {
     const auto* t = sqlite3_column_text(s_, column);
-    return t ? std::string(reinterpret_cast<const char*>(t), std::size_t(sqlite3_column_bytes(s_, column))) : "";
+    return t ? std::string(reinterpret_cast<const char*>(t), std::size_t(sqlite3_column_bytes(s_, column)))
+             : "";
   }
   std::uint64_t number(int column) const { return std::uint64_t(sqlite3_column_int64(s_, column)); }
 
@@ -119,11 +124,13 @@
 }
 
 void make(Db& db, const std::string& fleet, const std::string& voter) {
-  db.run("BEGIN IMMEDIATE;"
-         "CREATE TABLE about(what TEXT PRIMARY KEY, said TEXT) WITHOUT ROWID;"
-         "CREATE TABLE slots(name TEXT PRIMARY KEY, promised INTEGER, promised_by TEXT, accepted INTEGER, accepted_by TEXT,"
-         " version INTEGER, text TEXT, writer TEXT) WITHOUT ROWID;"
-         "CREATE TABLE seen(store TEXT PRIMARY KEY, counter INTEGER) WITHOUT ROWID;");
+  db.run(
+      "BEGIN IMMEDIATE;"
+      "CREATE TABLE about(what TEXT PRIMARY KEY, said TEXT) WITHOUT ROWID;"
+      "CREATE TABLE slots(name TEXT PRIMARY KEY, promised INTEGER, promised_by TEXT, accepted INTEGER, "
+      "accepted_by TEXT,"
+      " version INTEGER, text TEXT, writer TEXT) WITHOUT ROWID;"
+      "CREATE TABLE seen(store TEXT PRIMARY KEY, counter INTEGER) WITHOUT ROWID;");
   Statement s(db, "INSERT INTO about VALUES(?, ?)");
   s.put("fleet").put(fleet).once();
   s.put("voter").put(voter).once();
@@ -154,8 +161,11 @@
     if (!voters) throw broken(SQLITE_CORRUPT, "its voters can't be read");
     m.voters = *voters;
   }
-  for (Statement s(db, "SELECT name, promised, promised_by, accepted, accepted_by, version, text, writer FROM slots"); s.step();)
-    m.slots[s.text(0)] = {{s.number(1), s.text(2)}, {s.number(3), s.text(4)}, {s.number(5), s.text(6), s.text(7)}};
+  for (Statement s(
+           db, "SELECT name, promised, promised_by, accepted, accepted_by, version, text, writer FROM slots");
+       s.step();)
+    m.slots[s.text(0)] = {
+        {s.number(1), s.text(2)}, {s.number(3), s.text(4)}, {s.number(5), s.text(6), s.text(7)}};
   for (Statement s(db, "SELECT store, counter FROM seen"); s.step();) m.seen[s.text(0)] = s.number(1);
   return m;
 }
@@ -173,7 +183,8 @@
   std::thread thread;
 };
 
-Store::Store(const std::string& path, const std::string& fleet, const std::string& voter) : work_(std::make_unique<Work>()) {
+Store::Store(const std::string& path, const std::string& fleet, const std::string& voter)
+    : work_(std::make_unique<Work>()) {
   const auto no = [&](const std::string& why) { throw refused("store " + path + ": " + why); };
   try {
     std::error_code none;
@@ -184,8 +195,10 @@
     db.run("PRAGMA locking_mode=EXCLUSIVE");
     if (there && pragma(db, "application_id") != ours) no("is not a robinpin store");
     if (there && pragma(db, "user_version") > schema)
-      no("is of schema " + std::to_string(pragma(db, "user_version")) + ", this program knows " + std::to_string(schema));
-    db.run("PRAGMA journal_mode=WAL; PRAGMA synchronous=FULL; PRAGMA wal_autocheckpoint=0; PRAGMA fullfsync=1;");
+      no("is of schema " + std::to_string(pragma(db, "user_version")) + ", this program knows " +
+         std::to_string(schema));
+    db.run(
+        "PRAGMA journal_mode=WAL; PRAGMA synchronous=FULL; PRAGMA wal_autocheckpoint=0; PRAGMA fullfsync=1;");
     db.run("BEGIN IMMEDIATE; COMMIT");  // takes the lock
     if (!there) {
       make(db, fleet, voter);
@@ -195,13 +208,15 @@
       if (!s.step() || s.text(0) != "ok") no("is torn: " + s.text(0));
     }
     if (about(db, "fleet") != fleet) no("belongs to fleet \"" + about(db, "fleet") + "\"");
-    if (about(db, "voter") != voter) no("belongs to \"" + about(db, "voter") + "\", a copy of another voter's can't vote here");
+    if (about(db, "voter") != voter)
+      no("belongs to \"" + about(db, "voter") + "\", a copy of another voter's can't vote here");
     again_ = about(db, "openings") != "0";
     db.run("UPDATE about SET said=CAST(said AS INTEGER)+1 WHERE what='openings'");
     memory_ = read(db);
   } catch (const broken& b) {
     if (b.code == SQLITE_BUSY || b.code == SQLITE_LOCKED) no("is in use by another process");
-    if (b.code == SQLITE_CORRUPT || b.code == SQLITE_NOTADB) no(std::string("is torn or not a store: ") + b.what());
+    if (b.code == SQLITE_CORRUPT || b.code == SQLITE_NOTADB)
+      no(std::string("is torn or not a store: ") + b.what());
     no(b.what());
   } catch (const std::logic_error&) {
     no("is torn: a number in it can't be read");
@@ -248,8 +263,15 @@
   Statement seen(db, "INSERT OR REPLACE INTO seen VALUES(?, ?)");
   const auto write = [&](const Change& c) {
     if (!c.name.empty())
-      slot.put(c.name).put(c.slot.promised.round).put(c.slot.promised.proposer).put(c.slot.accepted.round).put(c.slot.accepted.proposer)
-          .put(c.slot.value.version).put(c.slot.value.text).put(c.slot.value.by).once();
+      slot.put(c.name)
+          .put(c.slot.promised.round)
+          .put(c.slot.promised.proposer)
+          .put(c.slot.accepted.round)
+          .put(c.slot.accepted.proposer)
+          .put(c.slot.value.version)
+          .put(c.slot.value.text)
+          .put(c.slot.value.by)
+          .once();
     if (c.voters) {
       told.put(c.voters->text()).put("voters").once();
       told.put(std::to_string(c.voters->version)).put("voters_version").once();
@@ -259,7 +281,9 @@
   };
   std::string failure;
   int pages = 0;  // of the log
-  sqlite3_wal_hook(db.raw(), [](void* to, sqlite3*, const char*, int n) { return *static_cast<int*>(to) = n, SQLITE_OK; }, &pages);
+  sqlite3_wal_hook(
+      db.raw(), [](void* to, sqlite3*, const char*, int n) { return *static_cast<int*>(to) = n, SQLITE_OK; },
+      &pages);
   for (std::unique_lock held(w.lock);;) {
     w.wake.wait(held, [&] { return w.over || !w.queue.empty(); });
     if (w.queue.empty()) return;
@@ -274,16 +298,20 @@
         for (const auto& [change, then] : together)
           if (change) write(*change);
         db.run("COMMIT");
-        // The log is taken into the file here and not behind our back, where a failed sync would be passed over.
+        // The log is taken into the file here and not behind our back, where a failed sync would be passed
+        // over.
         if (pages > checkpoint_from) {
           db.must(sqlite3_wal_checkpoint_v2(db.raw(), nullptr, SQLITE_CHECKPOINT_TRUNCATE, nullptr, nullptr));
           pages = 0;
         }
       } catch (const std::exception& wrong) {
-        // What the disk holds now nobody can say, and a sync tried again may claim what was lost: this is final.
+        // What the disk holds now nobody can say, and a sync tried again may claim what was lost: this is
+        // final.
         failure = wrong.what();
       }
-    const auto took = std::chrono::duration_cast<std::chrono::microseconds>(std::chrono::steady_clock::now() - begun).count();
+    const auto took =
+        std::chrono::duration_cast<std::chrono::microseconds>(std::chrono::steady_clock::now() - begun)
+            .count();
     held.lock();
     w.failure = failure;  // before anybody is told that it failed: who is, asks why
     if (writes > 0 && failure.empty()) {
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -1,5 +1,6 @@
-// What a voter must not forget, on disk: SQLite on a thread of its own, so that no txn waits for a disk. Writes that wait
-// together are committed together; an answer may leave only when its write lasts. A write that fails is final.
+// What a voter must not forget, on disk: SQLite on a thread of its own, so that no txn waits for a disk.
+// Writes that wait together are committed together; an answer may leave only when its write lasts. A write
+// that fails is final.
 #pragma once
 
 #include <cstdint>
@@ -27,8 +28,8 @@
   struct Figures {
     std::uint64_t commits = 0, writes = 0, longest_us = 0;  // of one commit
   };
-  // Makes the store, with an identity of its own, where there is none. Throws refused where it is torn, of another program,
-  // newer, another fleet's or voter's, or in use by another process.
+  // Makes the store, with an identity of its own, where there is none. Throws refused where it is torn, of
+  // another program, newer, another fleet's or voter's, or in use by another process.
   Store(const std::string& path, const std::string& fleet, const std::string& voter);
   ~Store();  // what waits is written first
   Store(const Store&) = delete;
@@ -37,8 +38,8 @@
   const consensus::Memory& memory() const { return memory_; }  // as it was found
   bool again() const { return again_; }                        // it was in use before
 
-  // `then` is called on the store's thread, in the order of the calls: true once the change, and all before it, lasts. Without
-  // a change it waits for those before. After a failure each gets false.
+  // `then` is called on the store's thread, in the order of the calls: true once the change, and all before
+  // it, lasts. Without a change it waits for those before. After a failure each gets false.
   void put(std::optional<consensus::Change> change, std::function<void(bool lasts)> then);
   bool full() const;
   std::string failure() const;  // empty: none
--- a/src/trove/files.cpp
+++ b/src/trove/files.cpp
@@ -49,12 +49,15 @@
 Status Files::settle(const std::string& path) {
   std::string text;
   if (const Status s = leveldb::ReadFileToString(this, path, &text); !s.ok()) return s;
-  return with(path, O_WRONLY, [&](int fd) { return ::pwrite(fd, text.data(), text.size(), 0) == ssize_t(text.size()) ? ::fsync(fd) : -1; });
+  return with(path, O_WRONLY, [&](int fd) {
+    return ::pwrite(fd, text.data(), text.size(), 0) == ssize_t(text.size()) ? ::fsync(fd) : -1;
+  });
 }
 
 class Durable::Written : public leveldb::WritableFile {
  public:
-  Written(Durable& of, std::string name, leveldb::WritableFile* file) : of_(of), name_(std::move(name)), file_(file) {}
+  Written(Durable& of, std::string name, leveldb::WritableFile* file)
+      : of_(of), name_(std::move(name)), file_(file) {}
   ~Written() override {
     if (file_) of_.fail(Close());  // LevelDB lets go of a full log this way, and looks at nothing
   }
@@ -74,7 +77,8 @@
     return s;
   }
   Status Close() override {
-    Status s = dirty_ && name_.ends_with(".log") ? Sync() : Status::OK();  // its successor may be written to next
+    Status s =
+        dirty_ && name_.ends_with(".log") ? Sync() : Status::OK();  // its successor may be written to next
     const Status closed = file_->Close();
     file_.reset();
     return s.ok() ? closed : s;
@@ -95,11 +99,14 @@
 Status Durable::hold() {
   std::vector<std::filesystem::path> made;
   std::error_code wrong;
-  for (std::filesystem::path at = std::filesystem::absolute(folder_, wrong); !wrong && !std::filesystem::exists(at, wrong) && at.has_relative_path(); at = at.parent_path())
+  for (std::filesystem::path at = std::filesystem::absolute(folder_, wrong);
+       !wrong && !std::filesystem::exists(at, wrong) && at.has_relative_path(); at = at.parent_path())
     made.push_back(at);
   std::filesystem::create_directories(folder_, wrong);
   if (wrong) return Status::IOError(folder_, wrong.message());
-  if (made.empty()) made.push_back(std::filesystem::absolute(folder_, wrong));  // perhaps by a life that ended before its sync
+  if (made.empty())
+    made.push_back(
+        std::filesystem::absolute(folder_, wrong));  // perhaps by a life that ended before its sync
   for (const auto& one : made)
     if (const Status s = files_.sync_folder(one.parent_path().string()); !s.ok()) return s;
   const Status s = files_.LockFile(path("LOCK"), &lock_);
@@ -109,10 +116,13 @@
 Status Durable::begin(const Findings& found) {
   const std::lock_guard lock(guard_);
   if (found.last) next_ = *found.last + 1;
-  if (found.inventory) inventory_ = *found.inventory, kept_ = true;
-  else if (found.empty) next_ = 1;
+  if (found.inventory)
+    inventory_ = *found.inventory, kept_ = true;
+  else if (found.empty)
+    next_ = 1;
   Status s;
-  if (kept_) s = files_.settle(path(inventory_names[inventory_.turn % 2]));  // the other one is written over next
+  if (kept_)
+    s = files_.settle(path(inventory_names[inventory_.turn % 2]));  // the other one is written over next
   if (!s.ok()) return s;
   for (const auto& [name, good] : found.torn)
     if (s = files_.cut(path(name), good); !s.ok()) return s;
@@ -164,7 +174,8 @@
   if (!listed(name)) return;
   const std::lock_guard lock(guard_);
   const auto at = inventory_.files.find(name);
-  if (failed_.ok() && at != inventory_.files.end()) at->second.size = size;  // goes to disk with the next change of names
+  if (failed_.ok() && at != inventory_.files.end())
+    at->second.size = size;  // goes to disk with the next change of names
 }
 
 Status Durable::put_file(const std::string& name, const std::string& text) {
@@ -195,7 +206,9 @@
   if (const Status s = failed(); !s.ok()) return s;
   if (listed(name)) {
     const std::lock_guard lock(guard_);
-    if (const auto at = inventory_.files.find(name); kept_ && at != inventory_.files.end() && at->second.size > 0) {  // made anew: no shorter than said at any time
+    if (const auto at = inventory_.files.find(name);
+        kept_ && at != inventory_.files.end() &&
+        at->second.size > 0) {  // made anew: no shorter than said at any time
       at->second.size = 0;
       if (const Status s = keep_inventory(); !s.ok()) return s;
     }
--- a/src/trove/inspect.cpp
+++ b/src/trove/inspect.cpp
@@ -32,8 +32,8 @@
   for (int i = 0; i < 8; ++i) text += char(x >> (8 * i) & 0xff);
 }
 
-// LevelDB's log format (its doc/log_format.md), used by logs and manifests: blocks of 32 KiB, in them records with a
-// checksum, a length and a kind: whole, first, middle, last.
+// LevelDB's log format (its doc/log_format.md), used by logs and manifests: blocks of 32 KiB, in them records
+// with a checksum, a length and a kind: whole, first, middle, last.
 constexpr std::size_t block = 32'768, header = 7;
 enum kind : unsigned char { whole = 1, first = 2, middle = 3, last = 4 };
 
@@ -49,7 +49,8 @@
   return log.substr(at + header, length);
 }
 
-// A batch of LevelDB's (its write_batch.cc) begins with its sequence and count, 12 bytes; then, here, the mark.
+// A batch of LevelDB's (its write_batch.cc) begins with its sequence and count, 12 bytes; then, here, the
+// mark.
 constexpr std::size_t batch_head = 12;
 const std::string& mark_head() {
   static const std::string text = [] {
@@ -63,7 +64,8 @@
 }
 std::optional<Mark> mark_in(std::string_view batch) {
   const std::string& head = mark_head();
-  if (batch.size() < batch_head + head.size() + 16 || batch.substr(batch_head, head.size()) != head) return {};
+  if (batch.size() < batch_head + head.size() + 16 || batch.substr(batch_head, head.size()) != head)
+    return {};
   return read_mark(batch.substr(batch_head + head.size(), 16));
 }
 
@@ -85,7 +87,8 @@
     const auto is = static_cast<unsigned char>(log[at + 6]);
     if (open != (is == middle || is == last)) break;
     if (!open) batch.clear();
-    batch += record->substr(0, std::min<std::size_t>(record->size(), 64 - std::min<std::size_t>(64, batch.size())));
+    batch += record->substr(
+        0, std::min<std::size_t>(record->size(), 64 - std::min<std::size_t>(64, batch.size())));
     open = is == first || is == middle;
     at += header + record->size();
     if (!open) s.good = at, s.batches.push_back(batch);
@@ -136,8 +139,11 @@
       f_.empty = false;
       for (const auto& [name, file] : f_.inventory->files) {
         const auto at = there_.find(name);
-        if (at == there_.end()) bad(name, "is missing");
-        else if (at->second < file.size) bad(name, "holds " + std::to_string(at->second) + " bytes, and " + std::to_string(file.size) + " were synced");
+        if (at == there_.end())
+          bad(name, "is missing");
+        else if (at->second < file.size)
+          bad(name, "holds " + std::to_string(at->second) + " bytes, and " + std::to_string(file.size) +
+                        " were synced");
       }
     }
     manifest();
@@ -146,11 +152,14 @@
   }
 
  private:
-  void bad(const std::string& name, const std::string& why, bool lost = true) { f_.damage.push_back({(folder_ / name).string(), why, lost}); }
+  void bad(const std::string& name, const std::string& why, bool lost = true) {
+    f_.damage.push_back({(folder_ / name).string(), why, lost});
+  }
 
   void list() {
     std::error_code wrong;
-    for (std::filesystem::directory_iterator it(folder_, wrong), end; !wrong && it != end; it.increment(wrong)) {
+    for (std::filesystem::directory_iterator it(folder_, wrong), end; !wrong && it != end;
+         it.increment(wrong)) {
       std::error_code gone;
       const auto size = it->file_size(gone);
       if (gone) continue;
@@ -165,11 +174,14 @@
       if (!there_.contains(name)) continue;
       const auto text = text_of(folder_ / name);
       auto one = text ? read_inventory(*text) : std::nullopt;
-      if (!one) torn = name;
-      else if (!f_.inventory || one->turn > f_.inventory->turn) f_.inventory = std::move(one);
+      if (!one)
+        torn = name;
+      else if (!f_.inventory || one->turn > f_.inventory->turn)
+        f_.inventory = std::move(one);
     }
     // Both are there before the first put: one alone, and torn, is of a store that was never whole.
-    if (!f_.inventory && there_.contains(inventory_names[0]) && there_.contains(inventory_names[1])) bad(torn, "can't be read, nor can the other");
+    if (!f_.inventory && there_.contains(inventory_names[0]) && there_.contains(inventory_names[1]))
+      bad(torn, "can't be read, nor can the other");
   }
 
   void manifest() {
@@ -194,10 +206,14 @@
     const std::size_t good = scan(*text).good;
     std::uint64_t synced = 0;
     if (listed)
-      if (const auto at = f_.inventory->files.find(name); at != f_.inventory->files.end()) synced = at->second.size;
-    if (good < synced) bad(name, "is damaged at byte " + std::to_string(good) + " of " + std::to_string(synced) + " synced");
-    else if (good == 0) bad(name, "is damaged at its beginning");
-    else if (good < text->size()) f_.torn[name] = good;
+      if (const auto at = f_.inventory->files.find(name); at != f_.inventory->files.end())
+        synced = at->second.size;
+    if (good < synced)
+      bad(name, "is damaged at byte " + std::to_string(good) + " of " + std::to_string(synced) + " synced");
+    else if (good == 0)
+      bad(name, "is damaged at its beginning");
+    else if (good < text->size())
+      f_.torn[name] = good;
   }
 
   void logs() {
@@ -209,7 +225,8 @@
       for (const auto& [name, size] : there_)
         if (is_log(name)) names.push_back(name);
     }
-    std::sort(names.begin(), names.end(), [](const auto& a, const auto& b) { return number_of(a) < number_of(b); });
+    std::sort(names.begin(), names.end(),
+              [](const auto& a, const auto& b) { return number_of(a) < number_of(b); });
     std::string torn;  // the first that is, and where from
     std::uint64_t torn_at = 0;
     for (const std::string& name : names) {
@@ -222,18 +239,21 @@
       const Scan s = scan(*text);
       if (s.good < file.size) return bad(name, told(s.good) + " of " + std::to_string(file.size) + " synced");
       if (!torn.empty()) {  // a log is synced whole before anything is written to the next
-        if (!s.batches.empty() || mark_behind(*text, 0)) return bad(torn, told(torn_at) + ", and " + name + " goes on");
+        if (!s.batches.empty() || mark_behind(*text, 0))
+          return bad(torn, told(torn_at) + ", and " + name + " goes on");
         if (!text->empty()) f_.torn[name] = 0;
         continue;
       }
       if (file.first != 0 && !s.batches.empty() && f_.last && *f_.last + 1 != file.first)
-        return bad(name, "begins at put " + std::to_string(file.first) + ", and those before it end at " + std::to_string(*f_.last));
+        return bad(name, "begins at put " + std::to_string(file.first) + ", and those before it end at " +
+                             std::to_string(*f_.last));
       if (file.first != 0 && !f_.last) f_.last = file.first - 1;
       for (const std::string& batch : s.batches) {
         const auto mark = mark_in(batch);
         if (!mark) continue;  // from before there were any
         if (f_.last && mark->number != *f_.last + 1)
-          return bad(name, "has put " + std::to_string(mark->number) + " behind put " + std::to_string(*f_.last));
+          return bad(name,
+                     "has put " + std::to_string(mark->number) + " behind put " + std::to_string(*f_.last));
         f_.last = mark->number;
       }
       if (s.good == text->size()) continue;
@@ -254,13 +274,16 @@
 
 std::string written(const Inventory& inventory) {
   std::string text = "turn " + std::to_string(inventory.turn) + "\n";
-  for (const auto& [name, file] : inventory.files) text += name + " " + std::to_string(file.size) + " " + std::to_string(file.first) + "\n";
+  for (const auto& [name, file] : inventory.files)
+    text += name + " " + std::to_string(file.size) + " " + std::to_string(file.first) + "\n";
   return text + "end " + std::to_string(crc_of(text)) + "\n";
 }
 
 std::optional<Inventory> read_inventory(std::string_view text) {
   const std::size_t end = text.rfind("end ");
-  if (end == std::string_view::npos || text.substr(end) != "end " + std::to_string(crc_of(text.substr(0, end))) + "\n") return {};
+  if (end == std::string_view::npos ||
+      text.substr(end) != "end " + std::to_string(crc_of(text.substr(0, end))) + "\n")
+    return {};
   Inventory all;
   std::istringstream in{std::string(text.substr(0, end))};
   std::string name;
--- a/src/trove/inspect.h
+++ b/src/trove/inspect.h
@@ -1,6 +1,6 @@
-// What a store's files say before LevelDB reads them: whether what was synced is all there, and where writes that power cut
-// short end. LevelDB by itself opens a folder that lacks a log, or its CURRENT, as a shorter history or none, and reads on
-// behind a torn record. Reads only.
+// What a store's files say before LevelDB reads them: whether what was synced is all there, and where writes
+// that power cut short end. LevelDB by itself opens a folder that lacks a log, or its CURRENT, as a shorter
+// history or none, and reads on behind a torn record. Reads only.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,8 @@
 
 namespace robinpin::trove {
 
-// Which files hold the history, two copies in turn (INVENTORY-A, -B): a file that is listed is there, and as long at least.
+// Which files hold the history, two copies in turn (INVENTORY-A, -B): a file that is listed is there, and as
+// long at least.
 struct Inventory {
   struct File {
     std::uint64_t size = 0;   // synced, at least
@@ -40,13 +41,14 @@
   bool lost = true;  // else it could not be looked at
 };
 struct Findings {
-  std::vector<Damage> damage;                  // more than a loss of power explains
-  std::map<std::string, std::uint64_t> torn;   // unsynced ends that it does explain: by file, how much of it stands
-  std::optional<Inventory> inventory;          // none: a store that was never whole, or from before there were any
-  std::optional<std::string> current;          // CURRENT is lost, and this is what it says
-  std::optional<std::uint64_t> last;           // the number of the last put. None: not known
+  std::vector<Damage> damage;  // more than a loss of power explains
+  std::map<std::string, std::uint64_t>
+      torn;                            // unsynced ends that it does explain: by file, how much of it stands
+  std::optional<Inventory> inventory;  // none: a store that was never whole, or from before there were any
+  std::optional<std::string> current;  // CURRENT is lost, and this is what it says
+  std::optional<std::uint64_t> last;   // the number of the last put. None: not known
   std::uint64_t bytes = 0;
-  bool empty = true;                           // nothing was ever put in it
+  bool empty = true;  // nothing was ever put in it
 };
 Findings inspect(const std::string& folder);
 
--- a/src/trove/trove.cpp
+++ b/src/trove/trove.cpp
@@ -75,14 +75,20 @@
 
 // A table that is too short LevelDB reads, or maps, beyond its end.
 Trouble unread(const std::string& folder, const leveldb::Status& s) {
-  if (s.IsIOError() && s.ToString().ends_with(std::strerror(EINVAL))) return {"damage", damaged_table(folder), "is too short"};
+  if (s.IsIOError() && s.ToString().ends_with(std::strerror(EINVAL)))
+    return {"damage", damaged_table(folder), "is too short"};
   return trouble_of("read", folder, s);
 }
 
 class Level : public Trove {
  public:
-  Level(std::string folder, std::unique_ptr<Durable> files, std::unique_ptr<leveldb::DB> db, std::uint64_t number)
-      : folder_(std::move(folder)), files_(std::move(files)), db_(std::move(db)), number_(number), synced_(number) {}
+  Level(std::string folder, std::unique_ptr<Durable> files, std::unique_ptr<leveldb::DB> db,
+        std::uint64_t number)
+      : folder_(std::move(folder)),
+        files_(std::move(files)),
+        db_(std::move(db)),
+        number_(number),
+        synced_(number) {}
   ~Level() override {
     db_.reset();
     files_->close();
@@ -108,7 +114,8 @@
     std::vector<Pair> found;
     const std::unique_ptr<leveldb::Iterator> it(db_->NewIterator(checked()));
     for (it->SeekToFirst(); it->Valid(); it->Next())
-      if (it->key() != leveldb::Slice(Mark::name.data(), Mark::name.size())) found.emplace_back(it->key().ToString(), it->value().ToString());
+      if (it->key() != leveldb::Slice(Mark::name.data(), Mark::name.size()))
+        found.emplace_back(it->key().ToString(), it->value().ToString());
     if (!it->status().ok()) return boost::leaf::new_error(unread(folder_, it->status()));
     return found;
   }
@@ -173,12 +180,15 @@
   auto env = std::make_unique<Durable>(files, folder);
   if (const auto s = env->hold(); !s.ok()) return boost::leaf::new_error(trouble_of("open", folder, s));
   const Findings found = inspect(folder);
-  if (!found.damage.empty()) return boost::leaf::new_error(Trouble{found.damage[0].lost ? "damage" : "open", found.damage[0].file, found.damage[0].why});
+  if (!found.damage.empty())
+    return boost::leaf::new_error(
+        Trouble{found.damage[0].lost ? "damage" : "open", found.damage[0].file, found.damage[0].why});
   if (const auto s = env->begin(found); !s.ok()) return boost::leaf::new_error(trouble_of("open", folder, s));
   auto options = options_over(env.get(), buffer);
   options.create_if_missing = found.empty;
   leveldb::DB* opened = nullptr;
-  if (const auto s = leveldb::DB::Open(options, folder, &opened); !s.ok()) return boost::leaf::new_error(trouble_of("open", folder, s));
+  if (const auto s = leveldb::DB::Open(options, folder, &opened); !s.ok())
+    return boost::leaf::new_error(trouble_of("open", folder, s));
   std::unique_ptr<leveldb::DB> db(opened);
   std::string text;
   const auto got = db->Get(checked(), leveldb::Slice(Mark::name.data(), Mark::name.size()), &text);
@@ -186,7 +196,9 @@
   if (!got.ok() && !got.IsNotFound()) return boost::leaf::new_error(unread(folder, got));
   const std::uint64_t last = got.ok() && mark ? mark->number : 0;
   if (found.last && *found.last > last)  // its tables may be ahead of a log that is let go of next
-    return boost::leaf::new_error(Trouble{"damage", folder, "ends at put " + std::to_string(last) + ", and its logs at put " + std::to_string(*found.last)});
+    return boost::leaf::new_error(Trouble{
+        "damage", folder,
+        "ends at put " + std::to_string(last) + ", and its logs at put " + std::to_string(*found.last)});
   env->next(last + 1);
   auto s = env->made();
   if (s.ok()) s = env->failed();
@@ -194,7 +206,9 @@
   return std::unique_ptr<Trove>(new Level(folder, std::move(env), std::move(db), last));
 }
 
-result<std::unique_ptr<Trove>> open(const std::string& folder) { return open(folder, Files::of_this_machine()); }
+result<std::unique_ptr<Trove>> open(const std::string& folder) {
+  return open(folder, Files::of_this_machine());
+}
 
 result<Look> look(const std::string& folder) {
   std::error_code wrong;
@@ -202,18 +216,23 @@
   if (wrong) return boost::leaf::new_error(Trouble{"open", folder, wrong.message()});
   if (in_use(folder + "/LOCK")) return boost::leaf::new_error(Trouble{"open", folder, "is in use"});
   const TemporaryFolder copy;
-  if (copy.path.empty()) return boost::leaf::new_error(Trouble{"copy", folder, "no folder for a copy can be made"});
+  if (copy.path.empty())
+    return boost::leaf::new_error(Trouble{"copy", folder, "no folder for a copy can be made"});
   for (const auto& [name, what] : before) {
     if (name == "LOCK") continue;
     fs::copy_file(folder + "/" + name, copy.path + "/" + name, wrong);
     if (wrong) return boost::leaf::new_error(Trouble{"copy", folder + "/" + name, wrong.message()});
   }
-  if (listing(folder, wrong) != before) return boost::leaf::new_error(Trouble{"open", folder, "is in use: it changes as it is read"});
+  if (listing(folder, wrong) != before)
+    return boost::leaf::new_error(Trouble{"open", folder, "is in use: it changes as it is read"});
   const Findings found = inspect(copy.path);
-  if (found.empty && !found.inventory) return boost::leaf::new_error(Trouble{"open", folder, "holds no store"});
+  if (found.empty && !found.inventory)
+    return boost::leaf::new_error(Trouble{"open", folder, "holds no store"});
   Look looked;
   looked.bytes = found.bytes;
-  const auto here = [&](std::string path) { return path.starts_with(copy.path) ? folder + path.substr(copy.path.size()) : path; };
+  const auto here = [&](std::string path) {
+    return path.starts_with(copy.path) ? folder + path.substr(copy.path.size()) : path;
+  };
   for (const Damage& d : found.damage) looked.damage.push_back(here(d.file) + ": " + d.why);
   for (int tries = 0; tries < 2; ++tries) {
     if (!looked.damage.empty()) {  // what stands is gathered, by itself in order or not
@@ -226,7 +245,8 @@
           BOOST_LEAF_ASSIGN(looked.pairs, t->all());
           return true;
         },
-        [&](const Trouble& t) { return looked.damage.push_back(here(t.peer) + ": " + t.why), false; }, [] { return false; });
+        [&](const Trouble& t) { return looked.damage.push_back(here(t.peer) + ": " + t.why), false; },
+        [] { return false; });
     if (read) break;
   }
   return looked;
--- a/src/trove/trove.h
+++ b/src/trove/trove.h
@@ -1,5 +1,5 @@
-// The contract of storing: what was put lasts once put() has said so, whatever power does then. A failed put is final:
-// nothing is known of the disk any more, and who has this trove ends.
+// The contract of storing: what was put lasts once put() has said so, whatever power does then. A failed put
+// is final: nothing is known of the disk any more, and who has this trove ends.
 #pragma once
 
 #include <boost/leaf/result.hpp>
@@ -16,8 +16,9 @@
 template <typename T>
 using result = boost::leaf::result<T>;
 
-// What went wrong: at which step, with whom, and why. Carried by every error of the mesh's parts. Of a trove's: "damage" is
-// what was synced and is not there any more; any other step may be right again later, or elsewhere.
+// What went wrong: at which step, with whom, and why. Carried by every error of the mesh's parts. Of a
+// trove's: "damage" is what was synced and is not there any more; any other step may be right again later, or
+// elsewhere.
 struct Trouble {
   std::string step, peer, why;
 };
@@ -29,8 +30,9 @@
     std::vector<Pair> put;
     std::vector<std::string> drop;  // names let go of
   };
-  // synced: it lasts whatever power does once this has returned. Otherwise it is there for this life and the next, in order
-  // with the others, and power may take it: any later synced one, or the next open, makes it last.
+  // synced: it lasts whatever power does once this has returned. Otherwise it is there for this life and the
+  // next, in order with the others, and power may take it: any later synced one, or the next open, makes it
+  // last.
   enum class lasting { synced, in_time };
   virtual ~Trove() = default;
   virtual result<void> put(const Batch& batch, lasting how = lasting::synced) = 0;
@@ -38,9 +40,9 @@
   virtual result<std::uint64_t> bytes() = 0;  // on disk, about
 };
 
-// In a folder on disk, made where there is none. Errors: "open", it can't be made, read or written to now, or is in use;
-// "damage", it lacks what was synced (docs/design/disk.md says what can be told); the peer is the file. A store that opens may
-// still be told as damaged by all(), which alone reads every table.
+// In a folder on disk, made where there is none. Errors: "open", it can't be made, read or written to now, or
+// is in use; "damage", it lacks what was synced (docs/design/disk.md says what can be told); the peer is the
+// file. A store that opens may still be told as damaged by all(), which alone reads every table.
 result<std::unique_ptr<Trove>> open(const std::string& folder);
 
 // A look at a store that is not in use. Its folder is left as it is: a copy is opened.
@@ -52,8 +54,8 @@
 // Errors: there is no store, it is in use, or it can't be copied.
 result<Look> look(const std::string& folder);
 
-// For tests: what a disk does to writes that a process has died over, or that power has. Shared, so that a process's next
-// life finds it.
+// For tests: what a disk does to writes that a process has died over, or that power has. Shared, so that a
+// process's next life finds it.
 class Memory : public Trove {
  public:
   struct Disk {
@@ -69,12 +71,16 @@
     for (const auto& k : batch.drop) disk_->written.erase(k), disk_->waiting.insert(k);
     if (how == lasting::in_time) return {};
     for (const auto& k : disk_->waiting)
-      if (const auto it = disk_->written.find(k); it != disk_->written.end()) disk_->lasts[k] = it->second;
-      else disk_->lasts.erase(k);
+      if (const auto it = disk_->written.find(k); it != disk_->written.end())
+        disk_->lasts[k] = it->second;
+      else
+        disk_->lasts.erase(k);
     disk_->waiting.clear();
     return {};
   }
-  result<std::vector<Pair>> all() override { return std::vector<Pair>(disk_->written.begin(), disk_->written.end()); }
+  result<std::vector<Pair>> all() override {
+    return std::vector<Pair>(disk_->written.begin(), disk_->written.end());
+  }
   result<std::uint64_t> bytes() override {
     std::uint64_t sum = 0;
     for (const auto& [k, v] : disk_->written) sum += k.size() + v.size();
--- a/tests/adopt_test.cpp
+++ b/tests/adopt_test.cpp
@@ -118,7 +118,8 @@
   const read::House second = read::renumbered(house({"d", "c", "a"}), first);
   CHECK((second.schemes.at("a") == 0 && second.schemes.at("c") == 2 && second.schemes.at("d") == 3));
   CHECK_FALSE(second.schemes.contains("b"));
-  CHECK((second.terms.schemes.size() == 4 && second.terms.schemes[1].sla == 'b' && second.terms.schemes[3].sla == 'd'));
+  CHECK((second.terms.schemes.size() == 4 && second.terms.schemes[1].sla == 'b' &&
+         second.terms.schemes[3].sla == 'd'));
   CHECK(read::renumbered(house({"b"}), second).schemes.at("b") == 1);
   read::House many = first;
   for (int i = 0; i < int(read::most_names); ++i) many.scheme_names.push_back("x" + std::to_string(i));
--- a/tests/asking_test.cpp
+++ b/tests/asking_test.cpp
@@ -1,4 +1,5 @@
-// When the list is asked for, and what of an answer is taken: a fleet that asks together, versions that go back.
+// When the list is asked for, and what of an answer is taken: a fleet that asks together, versions that go
+// back.
 #include "help.h"
 
 using namespace robinpin;
@@ -36,7 +37,8 @@
   CHECK(*std::max_element(calls.begin(), calls.end()) <= 4000 * ms);
 }
 
-TEST_CASE("a hundred nodes that lose discovery together come back one by one, later each time, within AskEvery") {
+TEST_CASE(
+    "a hundred nodes that lose discovery together come back one by one, later each time, within AskEvery") {
   std::mt19937 chance(3);
   std::vector<Calls> nodes(100, Calls(every, noon, 0));
   for (Calls& n : nodes) REQUIRE(n.due(noon));
@@ -74,7 +76,7 @@
   CHECK(v.judge({43, false}) == taking::all);
   CHECK(v.after() == 43);
   CHECK(v.judge({40, false}) == taking::bad_news);
-  CHECK(v.after() == 0);  // the whole list is asked for
+  CHECK(v.after() == 0);                            // the whole list is asked for
   CHECK(v.judge({42, false}) == taking::bad_news);  // a change still tells nothing
   SECTION("it was a late copy") {
     CHECK(v.judge({44, true}) == taking::all);
--- a/tests/boot_test.cpp
+++ b/tests/boot_test.cpp
@@ -119,7 +119,8 @@
   StandIn old(p.io, "");
   const std::string news =
       R"({"rev":2,"all":true,"targets":[{"uid":"a","endpoint":"127.0.0.1:30","state":"Ready"}]})";
-  StandIn present(p.io, "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(news.size()) + "\r\n\r\n" + news);
+  StandIn present(p.io,
+                  "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(news.size()) + "\r\n\r\n" + news);
   List list(p.io, p.sockets, p.counters, p.desk, p.servers, old.at());
   asio::co_spawn(p.io, list.follow(), asio::detached);
   const bool watched = GENERATE(true, false);
@@ -157,17 +158,22 @@
   CHECK(p.counters.list_failures == 0);
 }
 
-TEST_CASE("a file that lost a key that it had at the start is told by its path, what is new with each start aside") {
+TEST_CASE(
+    "a file that lost a key that it had at the start is told by its path, what is new with each start "
+    "aside") {
   const Keys first = keys_of(good);
   CHECK((first.contains("settings.Permissions.MostPostings") && first.contains("settings.Schemes[].Expiry")));
-  const std::string path = std::filesystem::temp_directory_path() / ("robinpin-" + std::to_string(::getpid()) + ".json");
+  const std::string path =
+      std::filesystem::temp_directory_path() / ("robinpin-" + std::to_string(::getpid()) + ".json");
   const auto again = [&](const std::string& text) {
     std::ofstream(path) << text;
     return boot_again(nothing, path, first);
   };
   CHECK_NOTHROW(again(with("\"seed\":\"8c1f30d27a5be964\"", "\"seed\":\"1\"")));
-  CHECK_THROWS_WITH(again(with("\"MostPostings\":5,", "")), Contains("settings.Permissions.MostPostings is missing"));
-  CHECK_THROWS_WITH(again(with("\"Effect\":\"safe\",", "")), Contains("settings.Schemes[].Effect is missing"));
+  CHECK_THROWS_WITH(again(with("\"MostPostings\":5,", "")),
+                    Contains("settings.Permissions.MostPostings is missing"));
+  CHECK_THROWS_WITH(again(with("\"Effect\":\"safe\",", "")),
+                    Contains("settings.Schemes[].Effect is missing"));
   CHECK_THROWS_WITH(again(with("\"sockets\":512,", "")), Contains("limits.sockets is missing"));
   std::filesystem::remove(path);
 }
--- a/tests/choice_test.cpp
+++ b/tests/choice_test.cpp
@@ -146,9 +146,12 @@
   CHECK((b.txns.count("again") == 0 || b.txns["again"].sla == noon + again - 700 * ms));
 }
 
-// The client of a repeat has its wait left of the expiry, so its first try is no older than that. Most repeats of a fleet come
-// to another node than the first try did: taken for one of long ago they were declined unheard.
-TEST_CASE("a repeat is not taken for an older txn than its own wait allows, and half as old where nobody knows it") {
+// The client of a repeat has its wait left of the expiry, so its first try is no older than that. Most
+// repeats of a fleet come to another node than the first try did: taken for one of long ago they were
+// declined unheard.
+TEST_CASE(
+    "a repeat is not taken for an older txn than its own wait allows, and half as old where nobody knows "
+    "it") {
   Terms t = terms();
   t.repeats_marked = true;
   Balancer b = knowing({"a"}, t);
@@ -222,7 +225,8 @@
   CHECK_FALSE(b.fails(b.servers["a"], 2));
 }
 
-// A server that takes only so much is well all the same: left out for long, it would leave the others crowded.
+// A server that takes only so much is well all the same: left out for long, it would leave the others
+// crowded.
 TEST_CASE("being turned away leaves a server to nobody for a moment, and is no failure") {
   Balancer b = knowing({"a", "b"});
   const auto ends_at = [&](micros at, ending how) {
--- a/tests/commands_test.cpp
+++ b/tests/commands_test.cpp
@@ -34,7 +34,8 @@
   }
 };
 
-pid_t start(const Folder& f, std::vector<std::string> words, const std::map<std::string, std::string>& edge = {}) {
+pid_t start(const Folder& f, std::vector<std::string> words,
+            const std::map<std::string, std::string>& edge = {}) {
   words.insert(words.begin(), ROBINPIN_BINARY);
   std::vector<char*> args;
   for (auto& w : words) args.push_back(w.data());
@@ -64,8 +65,8 @@
 
 std::string terms(int port, int discovery = 1, int control = 0) {
   return R"({"name":"n1","listen":"127.0.0.1:)" + std::to_string(port) +
-         (control ? R"(","control":"127.0.0.1:)" + std::to_string(control) : "") + R"(","discovery":"127.0.0.1:)" +
-         std::to_string(discovery) +
+         (control ? R"(","control":"127.0.0.1:)" + std::to_string(control) : "") +
+         R"(","discovery":"127.0.0.1:)" + std::to_string(discovery) +
          R"(","seed":"8c","settings":{"Schemes":[{"Name":"view","SlaTime":500,"Expiry":1200},)"
          R"({"Name":"pay","Effect":"unsafe","SlaTime":500,"Expiry":300}],"Permissions":{"MostPostings":5},"Guarantees":{"AskEvery":100}}})";
 }
@@ -108,12 +109,16 @@
 
 // Whether a figure comes to that.
 bool counts(int control, const std::string& name, int n) {
-  return soon([&] { return page(control, "/metrics").find("\nsvc_" + name + " " + std::to_string(n) + "\n") != std::string::npos; });
+  return soon([&] {
+    return page(control, "/metrics").find("\nsvc_" + name + " " + std::to_string(n) + "\n") !=
+           std::string::npos;
+  });
 }
 
 }  // namespace
 
-TEST_CASE("each call that the platform refuses ends a process of the tests: a node that makes one is seen to") {
+TEST_CASE(
+    "each call that the platform refuses ends a process of the tests: a node that makes one is seen to") {
   const auto ends_by = [](auto tries) {
     const pid_t child = ::fork();
     if (child == 0) {
@@ -123,7 +128,8 @@
     }
     return ended(child);
   };
-  for (const long call : help::refused_calls) CHECK(ends_by([&] { ::syscall(call, -1, 0, 0, 0, 0, 0); }) == 128 + SIGSYS);
+  for (const long call : help::refused_calls)
+    CHECK(ends_by([&] { ::syscall(call, -1, 0, 0, 0, 0, 0); }) == 128 + SIGSYS);
   CHECK(ends_by([] { ::syscall(SYS_clone, SIGCHLD, 0, 0, 0, 0); }) == 128 + SIGSYS);
   CHECK(ends_by([] { ::socket(AF_UNIX, SOCK_STREAM, 0); }) == 128 + SIGSYS);
   CHECK(ends_by([] { ::close(::socket(AF_INET, SOCK_STREAM, 0)); }) == 0);
@@ -134,13 +140,14 @@
   f.write("n.json", terms(1));
   const std::string terms_file = f.path / "n.json";
   const std::string fine = f.write("good.toml", good);
-  const std::string bad = f.write("bad.toml", "[[route]]\nname = \"r\"\nscheme = \"pay\"\nsecond_copies = true\n"
-                                              "posting_timeout = \"400ms\"\n");
+  const std::string bad = f.write("bad.toml",
+                                  "[[route]]\nname = \"r\"\nscheme = \"pay\"\nsecond_copies = true\n"
+                                  "posting_timeout = \"400ms\"\n");
   CHECK(ended(start(f, {"check", fine, "--terms", terms_file})) == 0);
   CHECK(ended(start(f, {"check", bad})) == 0);  // nothing is wrong with it but against a house
   CHECK(ended(start(f, {"check", bad, "--terms", terms_file})) == 1);
-  CHECK_THAT(f.read("err"), Contains("bad.toml:4:17: ") && Contains("rule 2") && Contains("bad.toml:5:19: ") &&
-                                Contains("rule 1") && Contains("2 faults"));
+  CHECK_THAT(f.read("err"), Contains("bad.toml:4:17: ") && Contains("rule 2") &&
+                                Contains("bad.toml:5:19: ") && Contains("rule 1") && Contains("2 faults"));
   CHECK(ended(start(f, {"check", bad, "--terms", terms_file, "--format", "json"})) == 1);
   rapidjson::Document told;
   told.Parse(f.read("out").c_str());
@@ -150,9 +157,13 @@
   CHECK(ended(start(f, {"check", fine, "--terms", "/none.json"})) == 1);
   CHECK(ended(start(f, {"explain", fine, "--terms", terms_file, "--scheme", "pay"})) == 0);
   CHECK_THAT(f.read("out"), Contains("good.toml:4") && Contains("once-only"));
-  for (const auto& words : std::vector<std::vector<std::string>>{
-           {"check"}, {"chekc", fine}, {"check", fine, "--format", "xml"}, {"explain", fine}, {"serve", "--conf", fine},
-           {"explain", fine, "--terms", terms_file, "--scheme", "nope"}})
+  for (const auto& words :
+       std::vector<std::vector<std::string>>{{"check"},
+                                             {"chekc", fine},
+                                             {"check", fine, "--format", "xml"},
+                                             {"explain", fine},
+                                             {"serve", "--conf", fine},
+                                             {"explain", fine, "--terms", terms_file, "--scheme", "nope"}})
     CHECK(ended(start(f, words)) == 2);
   CHECK(ended(start(f, {"--help"})) == 0);
   CHECK(ended(start(f, {"version"})) == 0);
@@ -160,7 +171,9 @@
   CHECK(ended(start(f, {})) == 1);
 }
 
-TEST_CASE("a running node takes a new file whole or not at all, says so once, and ends its records when told to end") {
+TEST_CASE(
+    "a running node takes a new file whole or not at all, says so once, and ends its records when told to "
+    "end") {
   const Folder f;
   const int port = free_port(), control = free_port();
   f.write("n.json", terms(port, 1, control));
@@ -178,8 +191,9 @@
   ::kill(node, SIGHUP);
   REQUIRE(soon([&] { return page(port, "/config").find("\"version\":2") != std::string::npos; }));
   // No server is known: declined at once or at its expiry, and the log says why.
-  CHECK_THAT(get(port, "POST /api HTTP/1.1\r\nHost: b\r\nRequest-Id: 7\r\nRequest-Class: pay\r\n"
-                       "Request-Timeout-Ms: 300\r\nContent-Length: 0\r\n\r\n"),
+  CHECK_THAT(get(port,
+                 "POST /api HTTP/1.1\r\nHost: b\r\nRequest-Id: 7\r\nRequest-Class: pay\r\n"
+                 "Request-Timeout-Ms: 300\r\nContent-Length: 0\r\n\r\n"),
              Contains("HTTP/1.1 5"));
   ::kill(node, SIGTERM);
   CHECK(ended(node) == 0);
@@ -191,7 +205,8 @@
   const auto back = records::read_back(f.path / "r.jsonl");
   CHECK(back.broken == 0);
   std::string story;
-  for (const auto& fact : back.facts) story += fact.fact + (fact.fact == "configured" ? "-" + fact.how : "") + " ";
+  for (const auto& fact : back.facts)
+    story += fact.fact + (fact.fact == "configured" ? "-" + fact.how : "") + " ";
   CHECK_THAT(story, Contains("records started configured-accepted configured-refused configured-accepted") &&
                         Contains("taken answered") && Contains("ended"));
 }
@@ -227,7 +242,8 @@
       bytes.erase(0, head);
       asio::steady_timer wait(io, 300ms);
       co_await wait.async_wait(asio::use_awaitable);
-      co_await asio::async_write(s, asio::buffer(std::string("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")),
+      co_await asio::async_write(s,
+                                 asio::buffer(std::string("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")),
                                  asio::redirect_error(asio::use_awaitable, error));
     }
     ++ended;
@@ -236,12 +252,15 @@
 
 // The platform's file, with so many streams a connection and what else is said of the schemes.
 std::string platform(int port, int control, int server, int streams, const std::string& more = "") {
-  return R"({"name":"n1","listen":"127.0.0.1:)" + std::to_string(port) + R"(","control":"127.0.0.1:)" + std::to_string(control) +
+  return R"({"name":"n1","listen":"127.0.0.1:)" + std::to_string(port) + R"(","control":"127.0.0.1:)" +
+         std::to_string(control) +
          R"(","discovery":"127.0.0.1:1","seed":"8c","known":{"rev":1,"all":true,"targets":[{"uid":"s","endpoint":"127.0.0.1:)" +
-         std::to_string(server) + R"(","az":"","model":"m","pod_group":0,"state":"Ready","capacity_hint":8.0}]},)" +
+         std::to_string(server) +
+         R"(","az":"","model":"m","pod_group":0,"state":"Ready","capacity_hint":8.0}]},)" +
          R"("settings":{"Weights":"nominal","Schemes":[{"Name":"view","SlaTime":5000,"Expiry":6000},)" +
          R"({"Name":"pay","Effect":"unsafe","SlaTime":5000,"Expiry":6000})" + more +
-         R"(],"Permissions":{"MostPostings":5,"Cancel":true,"StreamsPerConn":)" + std::to_string(streams) + "}}}";
+         R"(],"Permissions":{"MostPostings":5,"Cancel":true,"StreamsPerConn":)" + std::to_string(streams) +
+         "}}}";
 }
 
 }  // namespace
@@ -251,7 +270,9 @@
   SlowServer server;
   const int port = free_port(), control = free_port(), at = server.acceptor.local_endpoint().port();
   int wrong = 0;
-  const auto says = [&](int streams, const std::string& more = "") { f.write("n.json", platform(port, control, at, streams, more)); };
+  const auto says = [&](int streams, const std::string& more = "") {
+    f.write("n.json", platform(port, control, at, streams, more));
+  };
   says(1);
   const std::string ours = f.write("o.toml", "[node]\nterms = \"n.json\"\n");
   const pid_t node = start(f, {"serve", "--config", ours});
@@ -260,9 +281,10 @@
   std::vector<std::thread> clients;
   for (std::size_t i = 0; i < answers.size(); ++i)
     clients.emplace_back([&, i] {
-      answers[i] = get(port, (i % 2 ? "POST" : "GET") + std::string(" /api HTTP/1.1\r\nHost: b\r\nRequest-Id: ") +
-                                 std::to_string(i) + "\r\nRequest-Class: " + (i % 2 ? "pay" : "view") +
-                                 "\r\nRequest-Timeout-Ms: 5000\r\n" + (i % 2 ? "Content-Length: 0\r\n" : "") + "\r\n");
+      answers[i] =
+          get(port, (i % 2 ? "POST" : "GET") + std::string(" /api HTTP/1.1\r\nHost: b\r\nRequest-Id: ") +
+                        std::to_string(i) + "\r\nRequest-Class: " + (i % 2 ? "pay" : "view") +
+                        "\r\nRequest-Timeout-Ms: 5000\r\n" + (i % 2 ? "Content-Length: 0\r\n" : "") + "\r\n");
     });
   CHECK(counts(control, "pending", 12));
   says(100);
@@ -270,9 +292,10 @@
   CHECK(counts(control, "config_reloads_total", 1));
   CHECK_THAT(page(port, "/config"), Contains("\"streams\":100"));
   // A file that lost a key, or says nothing that can be meant, is turned down whole.
-  for (const std::string& lost : {std::string(), f.read("n.json").substr(0, 300),
-                                  platform(port, control, at, 1, R"(,{"Name":"new","SlaTime":1})"),
-                                  platform(port, control, at, 1, R"(,{"Name":"new","SlaTime":1,"Expiry":"soon"})")}) {
+  for (const std::string& lost :
+       {std::string(), f.read("n.json").substr(0, 300),
+        platform(port, control, at, 1, R"(,{"Name":"new","SlaTime":1})"),
+        platform(port, control, at, 1, R"(,{"Name":"new","SlaTime":1,"Expiry":"soon"})")}) {
     f.write("n.json", lost);
     ::kill(node, SIGHUP);
     CHECK(counts(control, "config_reload_errors_total", ++wrong));
@@ -281,7 +304,8 @@
   says(100, R"(,{"Name":"new","SlaTime":1,"Expiry":1})");  // a scheme more
   ::kill(node, SIGHUP);
   CHECK(counts(control, "completed_total{lane=\"new\"}", 0));
-  std::ofstream(ours) << "[node]\nterms = \"n.json\"\n[deployment]\nstreams = 0\n";  // faulty: the way back waits
+  std::ofstream(ours)
+      << "[node]\nterms = \"n.json\"\n[deployment]\nstreams = 0\n";  // faulty: the way back waits
   says(1);
   ::kill(node, SIGHUP);
   CHECK(counts(control, "config_reload_errors_total", ++wrong));
@@ -300,12 +324,15 @@
   CHECK(counts(control, "completed_total{lane=\"pay\"}", 6));
   CHECK(counts(control, "upstream_requests_total", 12));
   CHECK(counts(control, "pending", 0));
-  CHECK_THAT(f.read("err"), Contains("Schemes[2]: field Expiry is missing") && Contains("Expiry is not a number"));
+  CHECK_THAT(f.read("err"),
+             Contains("Schemes[2]: field Expiry is missing") && Contains("Expiry is not a number"));
   ::kill(node, SIGTERM);
   CHECK(ended(node) == 0);
 }
 
-TEST_CASE("a node replaced under load loses no txn, sends none twice and turns none back, one killed half-way leaves it") {
+TEST_CASE(
+    "a node replaced under load loses no txn, sends none twice and turns none back, one killed half-way "
+    "leaves it") {
   const Folder f;
   SlowServer server;
   asio::io_context io;
@@ -315,8 +342,11 @@
   const int first_control = free_port(), second_control = free_port(), third_control = free_port();
   ::fcntl(held.native_handle(), F_SETFD, 0);
   const auto begin = [&](int control) {
-    return start(f, {}, {{"EDGE_CONFIG", config}, {"EDGE_CONTROL", "127.0.0.1:" + std::to_string(control)},
-                         {"EDGE_FD", std::to_string(held.native_handle())}, {"TMPDIR", f.path}});
+    return start(f, {},
+                 {{"EDGE_CONFIG", config},
+                  {"EDGE_CONTROL", "127.0.0.1:" + std::to_string(control)},
+                  {"EDGE_FD", std::to_string(held.native_handle())},
+                  {"TMPDIR", f.path}});
   };
   const node::Twins ours(f.path);  // a process more
   const pid_t first = begin(first_control);
@@ -329,8 +359,9 @@
     clients.emplace_back([&, n] {
       for (int i = 0; !over; ++i) {
         ++sent;
-        const std::string heard = get(port, "POST /api HTTP/1.1\r\nHost: b\r\nRequest-Id: " + std::to_string(n * 10000 + i) +
-                                                "\r\nRequest-Class: pay\r\nRequest-Timeout-Ms: 5000\r\nContent-Length: 0\r\n\r\n");
+        const std::string heard =
+            get(port, "POST /api HTTP/1.1\r\nHost: b\r\nRequest-Id: " + std::to_string(n * 10000 + i) +
+                          "\r\nRequest-Class: pay\r\nRequest-Timeout-Ms: 5000\r\nContent-Length: 0\r\n\r\n");
         settled += heard.starts_with("HTTP/1.1 200");
       }
     });
@@ -362,8 +393,8 @@
 
 namespace {
 
-// The list service as its protocol says: a whole list at once, a watch only when there is something newer. Or one that takes
-// calls and says nothing; or writes a byte of its answer now and then.
+// The list service as its protocol says: a whole list at once, a watch only when there is something newer. Or
+// one that takes calls and says nothing; or writes a byte of its answer now and then.
 struct ListService {
   enum class manner { as_said, silent, dribbles };
   asio::io_context io;
@@ -394,10 +425,12 @@
       bytes.erase(0, head);
       if (how == manner::silent || (how == manner::as_said && !all)) continue;
       const std::string list = R"({"rev":1,"all":true,"targets":[]})";
-      const std::string answer = "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(list.size()) + "\r\n\r\n" + list;
+      const std::string answer =
+          "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(list.size()) + "\r\n\r\n" + list;
       const std::size_t piece = how == manner::dribbles ? 1 : answer.size();
       for (std::size_t at = 0; at < answer.size() && !error; at += piece) {
-        co_await asio::async_write(s, asio::buffer(answer.substr(at, piece)), asio::redirect_error(asio::use_awaitable, error));
+        co_await asio::async_write(s, asio::buffer(answer.substr(at, piece)),
+                                   asio::redirect_error(asio::use_awaitable, error));
         if (piece > 1) break;
         asio::steady_timer wait(io, 400ms);
         co_await wait.async_wait(asio::use_awaitable);
@@ -406,17 +439,21 @@
   }
 };
 
-// A node replaced beside that list service. Returns how long the new process took to say yes, from before its start; it is
-// stopped for a while as soon as it is there, as one is that gets no processor.
+// A node replaced beside that list service. Returns how long the new process took to say yes, from before its
+// start; it is stopped for a while as soon as it is there, as one is that gets no processor.
 std::chrono::milliseconds replaced(const Folder& f, int discovery, std::chrono::milliseconds starved = 0ms) {
   asio::io_context io;
   tcp::acceptor held(io, here);
   const std::string text = terms(held.local_endpoint().port(), discovery);
-  const std::string config = f.write("n.json", text.substr(0, text.size() - 1) + R"(,"known":{"rev":1,"all":true,"targets":[]}})");
+  const std::string config =
+      f.write("n.json", text.substr(0, text.size() - 1) + R"(,"known":{"rev":1,"all":true,"targets":[]}})");
   ::fcntl(held.native_handle(), F_SETFD, 0);
   const auto begin = [&](int control) {
-    return start(f, {}, {{"EDGE_CONFIG", config}, {"EDGE_CONTROL", "127.0.0.1:" + std::to_string(control)},
-                         {"EDGE_FD", std::to_string(held.native_handle())}, {"TMPDIR", f.path}});
+    return start(f, {},
+                 {{"EDGE_CONFIG", config},
+                  {"EDGE_CONTROL", "127.0.0.1:" + std::to_string(control)},
+                  {"EDGE_FD", std::to_string(held.native_handle())},
+                  {"TMPDIR", f.path}});
   };
   const int first_control = free_port(), second_control = free_port();
   const pid_t first = begin(first_control);
@@ -439,15 +476,20 @@
 
 }  // namespace
 
-TEST_CASE("a list with nothing new keeps no replacement waiting: it asks for the whole list, not after its file's version") {
+TEST_CASE(
+    "a list with nothing new keeps no replacement waiting: it asks for the whole list, not after its file's "
+    "version") {
   const Folder f;
   ListService list(ListService::manner::as_said);
   replaced(f, list.port());
   CHECK(list.whole == 1);  // the replacement alone
-  CHECK_THAT(f.read("err"), Contains("takes over") && Contains("the list is heard") && !Contains("not heard yet"));
+  CHECK_THAT(f.read("err"),
+             Contains("takes over") && Contains("the list is heard") && !Contains("not heard yet"));
 }
 
-TEST_CASE("a list that says nothing, or a byte now and then, holds a replacement up by the same while, starved or not") {
+TEST_CASE(
+    "a list that says nothing, or a byte now and then, holds a replacement up by the same while, starved or "
+    "not") {
   const Folder f;
   ListService list(GENERATE(ListService::manner::silent, ListService::manner::dribbles));
   const auto free = replaced(f, list.port()), starved = replaced(f, list.port(), 2000ms);
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -1,12 +1,11 @@
 // Our file: what it says, every fault with its place, and the four rules at load.
-#include "../src/config/file.h"
-
 #include <unistd.h>
 
 #include <filesystem>
 #include <fstream>
 #include <future>
 
+#include "../src/config/file.h"
 #include "help.h"
 
 using namespace robinpin;
@@ -29,17 +28,19 @@
 }  // namespace
 
 TEST_CASE("every fault of a file is told, each with its line, its column and what would do") {
-  const auto r = config::read("f.toml",
-                              "[node]\nsocket = 5\n[log]\nformat = \"xml\"\n[defaults]\nposting_timeout = 250\n"
-                              "postings = 0\nfurther_share = nan\nrate = -1.0\n[[route]]\nscheme = \"\"\n"
-                              "come_back = \"-5ms\"\nposting_timeout = \"5 parsecs\"\nin_flight = 99999999999\n");
+  const auto r =
+      config::read("f.toml",
+                   "[node]\nsocket = 5\n[log]\nformat = \"xml\"\n[defaults]\nposting_timeout = 250\n"
+                   "postings = 0\nfurther_share = nan\nrate = -1.0\n[[route]]\nscheme = \"\"\n"
+                   "come_back = \"-5ms\"\nposting_timeout = \"5 parsecs\"\nin_flight = 99999999999\n");
   const std::string told = faults(r);
   for (const char* what :
-       {"f.toml:2:1: node.socket: no such key; did you mean \"sockets\"?", "f.toml:4:10: log.format: \"xml\" is none of",
-        "f.toml:6:19: defaults.posting_timeout: must be text with a unit", "f.toml:7:12: defaults.postings: is zero",
-        "defaults.further_share: is not a number", "defaults.rate: -1 is below zero", "name: is missing",
-        "scheme: must be text that is not empty", "\"-5ms\" is below zero", "\"5 parsecs\" is no time",
-        "in_flight: 99999999999 is not from 1 to"})
+       {"f.toml:2:1: node.socket: no such key; did you mean \"sockets\"?",
+        "f.toml:4:10: log.format: \"xml\" is none of",
+        "f.toml:6:19: defaults.posting_timeout: must be text with a unit",
+        "f.toml:7:12: defaults.postings: is zero", "defaults.further_share: is not a number",
+        "defaults.rate: -1 is below zero", "name: is missing", "scheme: must be text that is not empty",
+        "\"-5ms\" is below zero", "\"5 parsecs\" is no time", "in_flight: 99999999999 is not from 1 to"})
     CHECK_THAT(told, Contains(what));
   CHECK(r.faults.size() == 11);
 }
@@ -72,17 +73,21 @@
 }
 
 // The slip that this file format is made against.
-TEST_CASE("a once-only scheme made repeatable, given a second copy or a late retry is refused with the reason") {
+TEST_CASE(
+    "a once-only scheme made repeatable, given a second copy or a late retry is refused with the reason") {
   const auto [text, what] = GENERATE(table<std::string, std::string>({
       {route("scheme = \"pay\"\nrepeats = \"repeatable\"\n"),
-       "f.toml:4:11: route \"r\" repeats: rule 2 (no effect twice): calls pay repeatable, and the house's terms say "
+       "f.toml:4:11: route \"r\" repeats: rule 2 (no effect twice): calls pay repeatable, and the house's "
+       "terms say "
        "once-only"},
       {route("scheme = \"pay\"\nrepeats = \"referenced\"\n"), "calls pay referenced"},
-      {route("scheme = \"pay\"\nsecond_copies = true\n"), "rule 2 (no effect twice): gives pay a second copy"},
+      {route("scheme = \"pay\"\nsecond_copies = true\n"),
+       "rule 2 (no effect twice): gives pay a second copy"},
       {route("path = \"/api\"\nsecond_copies = true\n"), "gives pay a second copy"},
       {"[defaults]\nsecond_copies = true\n" + route("scheme = \"view\"\n"), "defaults.second_copies: rule 2"},
       {route("scheme = \"pay\"\npostings = 3\nposting_timeout = \"900ms\"\n"),
-       "rule 1 (no txn lost): 3 postings of 900ms end after 2.7s, and the client of pay gives up after 2.5s (Expiry); "
+       "rule 1 (no txn lost): 3 postings of 900ms end after 2.7s, and the client of pay gives up after 2.5s "
+       "(Expiry); "
        "833ms at the most would do"},
       {route("scheme = \"pay\"\nsecond_copy_after = \"50ms\"\n"), "pay gets no second copy"},
   }));
@@ -90,13 +95,15 @@
 }
 
 TEST_CASE("a referenced scheme is not repeated outside its group or after its memory") {
-  CHECK_THAT(faults(against(route("scheme = \"add\"\nwithin = \"all\"\n"))), Contains("dropped within one zone only"));
+  CHECK_THAT(faults(against(route("scheme = \"add\"\nwithin = \"all\"\n"))),
+             Contains("dropped within one zone only"));
   read::House h = net::house();
   h.terms.schemes[1].memory = 1500 * ms;
   const std::string fits = route("scheme = \"add\"\npostings = 3\nposting_timeout = \"500ms\"\n");
   CHECK(against(fits, h).good());
   h.terms.schemes[1].memory -= ms;
-  CHECK_THAT(faults(against(fits, h)), Contains("rule 2 (no effect twice): 3 postings of 500ms end after 1.5s"));
+  CHECK_THAT(faults(against(fits, h)),
+             Contains("rule 2 (no effect twice): 3 postings of 500ms end after 1.5s"));
   // The client's own tries carry the same mark.
   h.terms.schemes[1].memory = 3200 * ms;
   const std::string clients = "[clients]\npatience = \"4s\"\nretries = 1\nwait = \"200ms\"\n";
@@ -105,7 +112,9 @@
   CHECK_THAT(faults(against(clients + fits, h)), Contains("2 tries and their waits after 3.2s"));
 }
 
-TEST_CASE("a time-out a millisecond over the client's patience, its two retries counted, is refused, at it, taken") {
+TEST_CASE(
+    "a time-out a millisecond over the client's patience, its two retries counted, is refused, at it, "
+    "taken") {
   const std::string clients = "[clients]\npatience = \"3s\"\nretries = 2\nwait = \"150ms\"\n";
   CHECK(against(clients + route("scheme = \"pay\"\npostings = 2\nposting_timeout = \"450ms\"\n")).good());
   const auto over = against(clients + route("scheme = \"pay\"\npostings = 2\nposting_timeout = \"451ms\"\n"));
@@ -114,8 +123,10 @@
   CHECK_THAT(faults(over), Contains("450ms at the most"));
   // Copies overlap: the second goes out beside the first.
   const auto copies = [&](const char* after) {
-    return against(clients + route("scheme = \"view\"\npostings = 2\nposting_timeout = \"800ms\"\nsecond_copy_after = \"" +
-                                   std::string(after) + "\"\n"));
+    return against(
+        clients +
+        route("scheme = \"view\"\npostings = 2\nposting_timeout = \"800ms\"\nsecond_copy_after = \"" +
+              std::string(after) + "\"\n"));
   };
   CHECK(copies("100ms").good());
   CHECK_FALSE(copies("101ms").good());
@@ -123,11 +134,13 @@
 
 TEST_CASE("a route that can never be met is refused, whoever takes its txns") {
   const auto [text, what] = GENERATE(table<std::string, std::string>({
-      {"[[route]]\nname = \"a\"\npath = \"/api\"\n[[route]]\nname = \"b\"\nscheme = \"pay\"\npath = \"/api/pay\"\n",
+      {"[[route]]\nname = \"a\"\npath = \"/api\"\n[[route]]\nname = \"b\"\nscheme = \"pay\"\npath = "
+       "\"/api/pay\"\n",
        "route \"a\" in line 1 takes all that it would"},
       {"[[route]]\nname = \"a\"\n[[route]]\nname = \"b\"\n", "route \"a\" in line 1"},
       // Three together take all, one by one they do not.
-      {"[[route]]\nname = \"a\"\nscheme = \"view\"\n[[route]]\nname = \"b\"\nscheme = \"add\"\n[[route]]\nname = "
+      {"[[route]]\nname = \"a\"\nscheme = \"view\"\n[[route]]\nname = \"b\"\nscheme = "
+       "\"add\"\n[[route]]\nname = "
        "\"c\"\nscheme = \"pay\"\n[[route]]\nname = \"d\"\npath = \"/api\"\n",
        "route \"d\""},
       {route("scheme = \"view\"\nmethod = \"POST\"\n"), "view comes as GET"},
@@ -136,7 +149,8 @@
       {route("tenant = \"band\"\n"), "\"band\" is not among the house's: choir"},
   }));
   CHECK_THAT(faults(against(text)), Contains(what));
-  CHECK(against("[[route]]\nname = \"a\"\nscheme = \"pay\"\n[[route]]\nname = \"b\"\npath = \"/api\"\n[[route]]\nname = "
+  CHECK(against("[[route]]\nname = \"a\"\nscheme = \"pay\"\n[[route]]\nname = \"b\"\npath = "
+                "\"/api\"\n[[route]]\nname = "
                 "\"c\"\ntenant = \"choir\"\n")
             .good());
 }
@@ -146,29 +160,33 @@
   h.terms.two_at_once = false;
   h.terms.advice_heeded = true;
   h.terms.longest_advice = 100 * ms;
-  const auto r = against(route("scheme = \"view\"\npostings = 9\nsecond_copies = true\ncome_back = \"1s\"\n"), h);
+  const auto r =
+      against(route("scheme = \"view\"\npostings = 9\nsecond_copies = true\ncome_back = \"1s\"\n"), h);
   CHECK(r.good());
   const std::string notes = config::text("f.toml", r.notes);
   CHECK_THAT(notes, Contains("9 are cut to 5") && Contains("SecondCopies") && Contains("1s is cut to 100ms"));
 }
 
 TEST_CASE("a route says its own limits, the defaults the rest, and each compiles into the module's terms") {
-  const auto r = against("[defaults]\npostings = 4\nrate = 10\nburst = 5\nin_flight = 7\n"
-                         "[[route]]\nname = \"r\"\nscheme = \"view\"\ntenant = \"choir\"\npath = \"/a\"\nrate = 3\n"
-                         "posting_timeout = \"200ms\"\nsecond_copy_after = \"50ms\"\nfurther_share = 0.5\n"
-                         "come_back = \"2s\"\nrepeats = \"once-only\"\n");
+  const auto r = against(
+      "[defaults]\npostings = 4\nrate = 10\nburst = 5\nin_flight = 7\n"
+      "[[route]]\nname = \"r\"\nscheme = \"view\"\ntenant = \"choir\"\npath = \"/a\"\nrate = 3\n"
+      "posting_timeout = \"200ms\"\nsecond_copy_after = \"50ms\"\nfurther_share = 0.5\n"
+      "come_back = \"2s\"\nrepeats = \"once-only\"\n");
   CHECK(faults(r) == "f.toml:13:21: route \"r\" second_copy_after: never acts: view gets no second copy\n");
-  const auto good = against("[defaults]\npostings = 4\nrate = 10\nburst = 5\nin_flight = 7\n"
-                            "[[route]]\nname = \"r\"\nscheme = \"add\"\ntenant = \"choir\"\npath = \"/a\"\nrate = 3\n"
-                            "posting_timeout = \"200ms\"\nsecond_copy_after = \"50ms\"\nfurther_share = 0.5\n"
-                            "come_back = \"2s\"\nwithin = \"cell\"\n");
+  const auto good = against(
+      "[defaults]\npostings = 4\nrate = 10\nburst = 5\nin_flight = 7\n"
+      "[[route]]\nname = \"r\"\nscheme = \"add\"\ntenant = \"choir\"\npath = \"/a\"\nrate = 3\n"
+      "posting_timeout = \"200ms\"\nsecond_copy_after = \"50ms\"\nfurther_share = 0.5\n"
+      "come_back = \"2s\"\nwithin = \"cell\"\n");
   REQUIRE(faults(good).empty());
   const auto all = config::routes(good.file, net::house());
   REQUIRE(all.size() == 2);
   const limits::Route& own = all[0];
   CHECK((own.scheme == 1 && own.tenant == 0 && own.path == "/a"));
   CHECK((own.allowed.postings == 4 && own.in_flight == 7 && own.rate == 3 && own.burst == 1));
-  CHECK((own.allowed.wait == 200 * ms && own.allowed.copy_after == 50 * ms && own.allowed.come_back == 2000 * ms));
+  CHECK((own.allowed.wait == 200 * ms && own.allowed.copy_after == 50 * ms &&
+         own.allowed.come_back == 2000 * ms));
   CHECK((own.allowed.further == 0.5 && own.allowed.within == group::cell && own.allowed.two_at_once));
   CHECK((all[1].name == "defaults" && all[1].rate == 10 && all[1].burst == 5 && all[1].allowed.wait == 0));
 }
@@ -176,9 +194,10 @@
 TEST_CASE("an explanation names the route, each limit in force, and the line or the term that set it") {
   read::House h = net::house();
   h.terms.most_postings = 3;
-  const auto r = against("[defaults]\npostings = 4\n[[route]]\nname = \"deposits\"\nscheme = \"pay\"\n"
-                         "posting_timeout = \"800ms\"\n",
-                         h);
+  const auto r = against(
+      "[defaults]\npostings = 4\n[[route]]\nname = \"deposits\"\nscheme = \"pay\"\n"
+      "posting_timeout = \"800ms\"\n",
+      h);
   REQUIRE(faults(r).empty());
   const std::string told = config::explain(r.file, h, {"pay", "", "", "/api"});
   CHECK_THAT(told, Contains("deposits, f.toml:3") && Contains("800ms        f.toml:6") &&
@@ -201,7 +220,8 @@
 // Cut in the middle it would still be TOML, with half of the routes.
 TEST_CASE("a file that is being written is not taken by half") {
   const Folder folder;
-  const std::string path = folder.path / "f.toml", half = "[defaults]\npostings = 2\n", rest = route("scheme = \"pay\"\n");
+  const std::string path = folder.path / "f.toml", half = "[defaults]\npostings = 2\n",
+                    rest = route("scheme = \"pay\"\n");
   std::ofstream(path) << half;
   auto reading = std::async(std::launch::async, [&] { return config::load(path, nullptr); });
   std::this_thread::sleep_for(std::chrono::milliseconds(20));
@@ -212,7 +232,8 @@
   CHECK_THAT(faults(config::load(folder.path, nullptr)), Contains("can't be read"));
 }
 
-TEST_CASE("what our file says of the deployment stands in place of the platform's, and each faulty word is told") {
+TEST_CASE(
+    "what our file says of the deployment stands in place of the platform's, and each faulty word is told") {
   read::House h;
   h.terms.streams = 7;
   h.terms.warm_keys = true;
--- a/tests/consensus_test.cpp
+++ b/tests/consensus_test.cpp
@@ -18,7 +18,8 @@
   explicit Fleet(std::vector<std::string> stores = {"A", "B", "C"}) {
     known.version = 1;
     for (const auto& s : stores) known.now.push_back({"voter-" + s, s, s});
-    for (const auto& s : stores) voters.emplace(s, Voter(Memory{s, 0, {}, {}, {}})).first->second.found(known);
+    for (const auto& s : stores)
+      voters.emplace(s, Voter(Memory{s, 0, {}, {}, {}})).first->second.found(known);
   }
   // To the end, with those voters answering that are named; the others are silent.
   Outcome run(Proposal p, const std::set<std::string>& up) {
@@ -28,7 +29,8 @@
       const phase stage = p.stage();
       for (const auto& send : s.send) {
         if (p.over() || p.stage() != stage) break;
-        next = up.contains(send.to.store) ? p.heard(voters.at(send.to.store).ask(send.ask).reply) : p.lost(send.to.store, stage);
+        next = up.contains(send.to.store) ? p.heard(voters.at(send.to.store).ask(send.ask).reply)
+                                          : p.lost(send.to.store, stage);
         if (next.end || !next.send.empty()) break;
       }
       REQUIRE((next.end || !next.send.empty()));
@@ -36,7 +38,8 @@
     }
     return *s.end;
   }
-  Outcome run(Want w, std::uint64_t round, const std::set<std::string>& up = {"A", "B", "C"}, bool again = false) {
+  Outcome run(Want w, std::uint64_t round, const std::set<std::string>& up = {"A", "B", "C"},
+              bool again = false) {
     return run(Proposal(known, {round, "me/1"}, std::move(w), again), up);
   }
 };
@@ -76,7 +79,8 @@
   Proposal first(f.known, {2, "me/1"}, writes(0, "x"));
   Proposal second(f.known, {3, "me/1"}, writes(0, "x"), true);
   const Step early = first.begin(), late = second.begin();
-  const Reply old_a = f.voters.at("A").ask(early.send[0].ask).reply, old_b = f.voters.at("B").ask(early.send[1].ask).reply;
+  const Reply old_a = f.voters.at("A").ask(early.send[0].ask).reply,
+              old_b = f.voters.at("B").ask(early.send[1].ask).reply;
   CHECK(second.heard(old_a).send.empty());
   CHECK(second.heard(old_b).send.empty());
   CHECK(second.heard(f.voters.at("A").ask(late.send[0].ask).reply).send.empty());  // one voter is no majority
@@ -153,7 +157,9 @@
   w.text.assign(longest_value + 1, 'x');
   CHECK(f.run(w, 2, {"A"}).how == fate::full);
   std::size_t taken = 1;  // the voters' own
-  while (taken < most_registers && f.run(writes(0, "x", "r" + std::to_string(taken)), 2, {"A"}).how == fate::chosen) ++taken;
+  while (taken < most_registers &&
+         f.run(writes(0, "x", "r" + std::to_string(taken)), 2, {"A"}).how == fate::chosen)
+    ++taken;
   CHECK(taken == most_registers);
   CHECK(f.run(writes(0, "x", "one more"), 2, {"A"}).how == fate::full);
   CHECK(f.run(writes(1, "y", "r7"), 3, {"A"}).how == fate::chosen);
@@ -183,7 +189,9 @@
   CHECK(o.newer->version == 3);
 }
 
-TEST_CASE("two voters of three are replaced one after the other, and a value that only they and one more held is still there") {
+TEST_CASE(
+    "two voters of three are replaced one after the other, and a value that only they and one more held is "
+    "still there") {
   Fleet f;
   REQUIRE(f.run(writes(0, "x"), 2, {"A", "B"}).how == fate::chosen);
   for (const char* fresh : {"D", "E"}) f.voters.emplace(fresh, Voter(Memory{fresh, 0, {}, {}, {}}));
@@ -214,10 +222,13 @@
   v.now = {{"a", "1f", "127.0.0.1:1"}, {"b", "2f", "127.0.0.1:2"}};
   v.next = {{"c", "3f", "127.0.0.1:3"}};
   CHECK(Voters::read(4, v.text()) == v);
-  for (const char* wrong : {"", "now a 1f", "now a 1f x\nsoon b 2f y\n", "now a 1f 127.0.0.1:1"}) CHECK_FALSE(Voters::read(1, wrong));
+  for (const char* wrong : {"", "now a 1f", "now a 1f x\nsoon b 2f y\n", "now a 1f 127.0.0.1:1"})
+    CHECK_FALSE(Voters::read(1, wrong));
 }
 
-TEST_CASE("every order of two writers, three voters and late or lost messages, to the end, keeps one value a version") {
+TEST_CASE(
+    "every order of two writers, three voters and late or lost messages, to the end, keeps one value a "
+    "version") {
   Case c;
   c.scripts = {{{writes(0, "")}, 1, {}}, {{writes(0, "")}, 1, {}}};
   c.give_ups = 0;
@@ -233,14 +244,18 @@
 #endif
 }
 
-TEST_CASE("drawn orders with crashes, doubled messages, tries again, readers and a change of voters keep one value a version") {
+TEST_CASE(
+    "drawn orders with crashes, doubled messages, tries again, readers and a change of voters keep one value "
+    "a version") {
   Case c;
   c.scripts = {{{writes(0, ""), writes(1, "")}, 3, {}}, {{writes(0, "")}, 3, {}}};
   c.crashes = 1;
   c.doubles = 2;
   c.give_ups = 4;
   SECTION("two writers") {}
-  SECTION("two writers of one version and many crashes") { c.crashes = 5, c.scripts[0] = c.scripts[1], c.doubles = 0; }
+  SECTION("two writers of one version and many crashes") {
+    c.crashes = 5, c.scripts[0] = c.scripts[1], c.doubles = 0;
+  }
   SECTION("three writers") { c.scripts.push_back(c.scripts[1]); }
   SECTION("a reader") { c.scripts[1].wants.assign(3, {wish::read, "r", 0, "", ""}); }
   SECTION("voters changed meanwhile") {
--- a/tests/daily_test.cpp
+++ b/tests/daily_test.cpp
@@ -18,7 +18,11 @@
 
 struct Called : Parts {
   bool ready = true;
-  Control control{io, {[this] { return ready; }, [this] { return figures(counters, {"view"}, {clients.pending(), 0, 0}); }}};
+  Control control{io,
+                  {[this] { return ready; },
+                   [this] {
+                     return figures(counters, {"view"}, {clients.pending(), 0, 0});
+                   }}};
   explicit Called(int most_sockets = 100) : Parts(most_sockets) {
     control.listen(here);
     asio::co_spawn(io, control.accept(), asio::detached);
@@ -44,15 +48,20 @@
   CHECK_THAT(p.call(ready_call), Contains("HTTP/1.1 200") && Contains("<end>"));
   p.ready = false;
   CHECK_THAT(p.call(ready_call, 1), Contains("HTTP/1.1 503"));  // byte by byte
-  CHECK_THAT(p.call("GET /metrics HTTP/1.1\r\n\r\n"), Contains("HTTP/1.1 200") && Contains("svc_pending 0\n"));
+  CHECK_THAT(p.call("GET /metrics HTTP/1.1\r\n\r\n"),
+             Contains("HTTP/1.1 200") && Contains("svc_pending 0\n"));
   const auto [call, status] = GENERATE(table<std::string, std::string>(
-      {{"GET /other HTTP/1.1\r\n\r\n", "404"}, {"POST /ready HTTP/1.1\r\nContent-Length: 0\r\n\r\n", "405"},
-       {"GET /ready HTTP/1.1\r\nContent-Length: 1\r\n\r\nx", "413"}, {"\x16\x03\x01 noise\r\n\r\n", "400"},
+      {{"GET /other HTTP/1.1\r\n\r\n", "404"},
+       {"POST /ready HTTP/1.1\r\nContent-Length: 0\r\n\r\n", "405"},
+       {"GET /ready HTTP/1.1\r\nContent-Length: 1\r\n\r\nx", "413"},
+       {"\x16\x03\x01 noise\r\n\r\n", "400"},
        {"GET /ready HTTP/1.1\r\nA: " + std::string(9000, 'a') + "\r\n\r\n", "431"}}));
   CHECK_THAT(p.call(call), Contains("HTTP/1.1 " + status));
 }
 
-TEST_CASE("callers who say nothing make room, the oldest first, and clients who take every descriptor keep none out") {
+TEST_CASE(
+    "callers who say nothing make room, the oldest first, and clients who take every descriptor keep none "
+    "out") {
   Called p(1);
   p.listens();
   const tcp::socket client = p.opened("");
@@ -75,8 +84,9 @@
   p.knows("a", slow.at());
   const tcp::socket one = p.opened(request("1"));
   CHECK(p.comes([&] { return p.counters.postings_written == 1; }));
-  CHECK_THAT(p.call("GET /metrics HTTP/1.1\r\n\r\n"), Contains("svc_pending 1\n") && Contains("svc_completed_total{lane=\"view\"} 0\n") &&
-                                                          Contains("svc_upstream_requests_total 1\n"));
+  CHECK_THAT(p.call("GET /metrics HTTP/1.1\r\n\r\n"),
+             Contains("svc_pending 1\n") && Contains("svc_completed_total{lane=\"view\"} 0\n") &&
+                 Contains("svc_upstream_requests_total 1\n"));
   CHECK(p.comes([&] { return p.clients.pending() == 0; }));  // its expiry
   p.servers.told("a", good.at(), 1, false);
   CHECK_THAT(p.ask(request("2")), Contains("200 OK"));
@@ -96,8 +106,10 @@
 }
 
 // Real ones, and one that is killed: in the commands' tests.
-TEST_CASE("processes of one node know how many they are, and one that can't know takes it that there are two") {
-  const std::string folder = std::filesystem::temp_directory_path() / ("robinpin-twins-" + std::to_string(::getpid()));
+TEST_CASE(
+    "processes of one node know how many they are, and one that can't know takes it that there are two") {
+  const std::string folder =
+      std::filesystem::temp_directory_path() / ("robinpin-twins-" + std::to_string(::getpid()));
   std::filesystem::create_directories(folder);
   CHECK(Twins().alive() == 1);
   CHECK(Twins(folder + "/none").alive() == 2);
--- a/tests/decisions_test.cpp
+++ b/tests/decisions_test.cpp
@@ -1,5 +1,5 @@
-// Every decision of whole model days, hashed in order: a change of the module's text that is to change no decision leaves
-// these as they are, and one that is to change some says so by new figures here.
+// Every decision of whole model days, hashed in order: a change of the module's text that is to change no
+// decision leaves these as they are, and one that is to change some says so by new figures here.
 #include <catch2/catch.hpp>
 #include <functional>
 #include <map>
@@ -22,8 +22,8 @@
   int sends = 0, further = 0, withdrawn = 0, declined = 0, reversed = 0, probes = 0, lists = 0, wakes = 0;
 };
 
-// Houses by number: 0 plain with two zones; 1 probes, sizes and connections that carry many; 2 an inner tier with a budget of
-// further postings; 3 hundreds of nodes that price crossings, and limits per route.
+// Houses by number: 0 plain with two zones; 1 probes, sizes and connections that carry many; 2 an inner tier
+// with a budget of further postings; 3 hundreds of nodes that price crossings, and limits per route.
 Terms house(int which, int me) {
   Terms t;
   t.schemes = {{repeats::repeatable, group::all, 0, 500 * ms, 0.5, 1200 * ms, 5, 1},
@@ -44,7 +44,8 @@
   t.longest_advice = 1200 * ms;
   t.ask_every = 2000 * ms;
   t.cold_for = 10'000 * ms, t.cold_from = 0.3, t.tip_multiple = 4, t.tip_window = 1500 * ms;
-  if (which == 2) t.tier = 1, t.tiers = 2, t.resend_span = 5000 * ms, t.free_resends = 20, t.extra_share = 0.1;
+  if (which == 2)
+    t.tier = 1, t.tiers = 2, t.resend_span = 5000 * ms, t.free_resends = 20, t.extra_share = 0.1;
   if (which == 3) t.price_crossing = 0.02, t.rank_crossing = 0.1;
   return t;
 }
@@ -61,16 +62,18 @@
       box_.push_back(std::make_unique<Box>(agenda_, make, seed * 100 + i, marks));
       list_.knows(entry(i, state::ready));
     }
-    for (int n = 0; n < nodes; ++n) node_.push_back(std::make_unique<Balancer>(house(which, n), seed * 10 + n, 0));
+    for (int n = 0; n < nodes; ++n)
+      node_.push_back(std::make_unique<Balancer>(house(which, n), seed * 10 + n, 0));
     for (int n = 0; n < nodes; ++n) carry(n, [&](Balancer& b) { return b.woke(0); });
     spent_ = std::make_shared<Spent>();
     trouble();
     Mix mix;
     mix.rate = 450;
     mix.form = shape::wave;
-    mix.schemes = {{"view", 6, 45'000, 0.7, 500 * ms, 1200 * ms, 5, repeats::repeatable},
-                   {"add", 2, 60'000, 0.5, 1000 * ms, 2500 * ms, 2, repeats::referenced, group::zone, 4000 * ms},
-                   {"pay", 1, 60'000, 0.5, 1000 * ms, 2500 * ms, 5, repeats::once_only}};
+    mix.schemes = {
+        {"view", 6, 45'000, 0.7, 500 * ms, 1200 * ms, 5, repeats::repeatable},
+        {"add", 2, 60'000, 0.5, 1000 * ms, 2500 * ms, 2, repeats::referenced, group::zone, 4000 * ms},
+        {"pay", 1, 60'000, 0.5, 1000 * ms, 2500 * ms, 5, repeats::once_only}};
     mix.tenants = {{"large", 3, 150}, {"small", 1, 40}};
     mix.halls = {1, 1, 1};
     for (const Wanted& w : drawn(mix, {{day / 2, day * 2 / 3, 2.2}}, day, seed))
@@ -96,15 +99,23 @@
 
   Entry entry(int i, state is) const {
     const std::string zone = i % 2 == 0 ? "here" : "there";
-    return {"s" + std::to_string(i), zone, i % 3 == 0 ? "large" : "usual", i % 4, i % 3 == 0 ? 2.0 : 1.0, is,
+    return {"s" + std::to_string(i),
+            zone,
+            i % 3 == 0 ? "large" : "usual",
+            i % 4,
+            i % 3 == 0 ? 2.0 : 1.0,
+            is,
             box_[std::size_t(i)]->started() > 0 ? box_[std::size_t(i)]->started() : 0};
   }
   void trouble() {
     agenda_.at(3000 * ms, [this] { box_[1]->fail(0.7), box_[2]->slow(5); });
-    agenda_.at(5000 * ms, [this] { box_[3]->hang(true), box_[4]->drain(true), list_.changed(entry(4, state::draining)); });
+    agenda_.at(5000 * ms, [this] {
+      box_[3]->hang(true), box_[4]->drain(true), list_.changed(entry(4, state::draining));
+    });
     agenda_.at(6000 * ms, [this] { box_[5]->refuse(true); });
     agenda_.at(7000 * ms, [this] { stop(4), stop(6), list_.changed(entry(4, state::gone)); });
-    agenda_.at(8000 * ms, [this] { box_[1]->fail(0), box_[2]->slow(1), box_[3]->hang(false), list_.broken(true); });
+    agenda_.at(8000 * ms,
+               [this] { box_[1]->fail(0), box_[2]->slow(1), box_[3]->hang(false), list_.broken(true); });
     agenda_.at(11'000 * ms, [this] { list_.broken(false), box_[5]->refuse(false); });
     agenda_.at(12'000 * ms, [this] {
       for (const int i : {4, 6}) box_[std::size_t(i)]->start(true), list_.changed(entry(i, state::ready));
@@ -115,7 +126,9 @@
   void adopt(bool stricter) {
     for (int n = 0; n < nodes; ++n) {
       Terms t = house(which_, n);
-      if (stricter) t.schemes[0].kind = repeats::referenced, t.schemes[0].memory = 4000 * ms, t.schemes[0].sla *= 2, t.most_postings = 2;
+      if (stricter)
+        t.schemes[0].kind = repeats::referenced, t.schemes[0].memory = 4000 * ms, t.schemes[0].sla *= 2,
+        t.most_postings = 2;
       carry(n, [&](Balancer& b) { return b.adopt(agenda_.now(), t); });
     }
   }
@@ -125,7 +138,8 @@
       if (o.box == i) ended(key, ending::reset, 2 * ms);
   }
   void write(char what, const std::string& id, std::int64_t a = 0, std::int64_t b = 0) {
-    const std::string line = std::to_string(agenda_.now()) + what + id + ' ' + std::to_string(a) + ' ' + std::to_string(b) + '\n';
+    const std::string line =
+        std::to_string(agenda_.now()) + what + id + ' ' + std::to_string(a) + ' ' + std::to_string(b) + '\n';
     for (const char c : line) figures.hash = (figures.hash ^ std::uint8_t(c)) * 16777619U;
   }
   void carry(int n, const std::function<Decisions(Balancer&)>& call) {
@@ -134,13 +148,15 @@
     for (const auto& f : d.finals) {
       ++(f.declined ? figures.declined : figures.reversed);
       write('f', f.txn, f.declined, f.come_back * 8 + int(f.why));
-      agenda_.in(ms, [this, f] { heard_by(f.txn, f.declined ? heard::declined : heard::failed, f.come_back); });
+      agenda_.in(ms,
+                 [this, f] { heard_by(f.txn, f.declined ? heard::declined : heard::failed, f.come_back); });
     }
     for (const auto& w : d.withdrawals) {
       ++figures.withdrawn;
       write('w', w.txn, w.posting);
       const std::string key = w.txn + '#' + std::to_string(w.posting);
-      if (const auto o = out_.find(key); o != out_.end()) box_[std::size_t(o->second.box)]->cancel(o->second.number);
+      if (const auto o = out_.find(key); o != out_.end())
+        box_[std::size_t(o->second.box)]->cancel(o->second.number);
       ended(key, ending::withdrawn, ms);
     }
     for (const auto& s : d.sends) {
@@ -178,7 +194,9 @@
     bool whole = false;
     std::vector<Line> lines;
     for (const Entry& e : list_.since(version_[n], whole)) {
-      const standing is = e.is == state::ready ? standing::serving : e.is == state::draining ? standing::draining : standing::gone;
+      const standing is = e.is == state::ready      ? standing::serving
+                          : e.is == state::draining ? standing::draining
+                                                    : standing::gone;
       lines.push_back({e.uid, e.zone, e.kind, e.cell, e.size, is, e.started});
     }
     watching_[n] = !fails;
@@ -194,7 +212,8 @@
     const micros left = patience({}, s, tries);
     const int n = int((std::uint64_t(w.hall) + std::uint64_t(tries)) % nodes);
     Allowed by;
-    if (which_ == 3 && w.number % 5 == 0) by.further = 0.1, by.spent = spent_, by.wait = 300 * ms, by.copy_after = 150 * ms;
+    if (which_ == 3 && w.number % 5 == 0)
+      by.further = 0.1, by.spent = spent_, by.wait = 300 * ms, by.copy_after = 150 * ms;
     if (which_ == 3 && w.number % 31 == 0) by.full = true, by.come_back = 200 * ms;
     if (which_ == 3) by.crossing = 1 + double(w.number % 4);
     const bool coming = w.number % 11 == 0, leaves = w.number % 37 == 0;
@@ -215,7 +234,8 @@
   void heard_by(const std::string& id, heard how, micros come_back) {
     Asked& a = asked_.at(id);
     if (std::exchange(a.over, true)) return;
-    if (how == heard::nothing) carry(node_of_[id], [&](Balancer& b) { return b.client_left(agenda_.now(), id); });
+    if (how == heard::nothing)
+      carry(node_of_[id], [&](Balancer& b) { return b.client_left(agenda_.now(), id); });
     const micros wait = again({}, a.s, a.tries, how, come_back, a.first, agenda_.now(), drawn_);
     if (wait >= 0) agenda_.in(wait, [this, a] { ask(a.w, a.s, a.tries + 1, a.first); });
   }
@@ -233,10 +253,15 @@
     if (a.w.number % 23 == 0)  // its answer begins long before its end
       job.runs = [this, key] {
         if (const auto at = out_.find(key); at != out_.end())
-          carry(at->second.node, [&, out = at->second](Balancer& b) { return b.stream_begun(agenda_.now(), out.id, out.n); });
+          carry(at->second.node,
+                [&, out = at->second](Balancer& b) { return b.stream_begun(agenda_.now(), out.id, out.n); });
       };
     job.ended = [this, key](done how) {
-      ended(key, how == done::served ? ending::settled : how == done::error ? ending::error : ending::refused, ms);
+      ended(key,
+            how == done::served  ? ending::settled
+            : how == done::error ? ending::error
+                                 : ending::refused,
+            ms);
     };
     agenda_.in(2500 * ms, [this, key] { ended(key, ending::timed_out, 0); });
     o.number = box.next_number();
@@ -273,15 +298,23 @@
 
 void played(int which, std::uint64_t seed, std::uint32_t hash) {
   const Figures f = Day(which, seed).figures;
-  INFO("house " << which << ", seed " << seed << ": sends " << f.sends << ", further " << f.further << ", withdrawn " << f.withdrawn
-                << ", declined " << f.declined << ", reversed " << f.reversed << ", probes " << f.probes << ", lists " << f.lists
-                << ", wakes " << f.wakes);
+  INFO("house " << which << ", seed " << seed << ": sends " << f.sends << ", further " << f.further
+                << ", withdrawn " << f.withdrawn << ", declined " << f.declined << ", reversed " << f.reversed
+                << ", probes " << f.probes << ", lists " << f.lists << ", wakes " << f.wakes);
   CHECK(f.hash == hash);
 }
 
 }  // namespace
 
-TEST_CASE("the decisions of model days are those recorded: a plain house") { played(0, 1, 0x993caa82), played(0, 2, 0x3106996e); }
-TEST_CASE("the decisions of model days are those recorded: probes") { played(1, 1, 0xf6a0c5c0), played(1, 2, 0x0f7de8e1); }
-TEST_CASE("the decisions of model days are those recorded: an inner tier") { played(2, 1, 0xb75284a6), played(2, 2, 0x849e9dad); }
-TEST_CASE("the decisions of model days are those recorded: many nodes") { played(3, 1, 0xf0c558a4), played(3, 2, 0xd2b9d8f3); }
+TEST_CASE("the decisions of model days are those recorded: a plain house") {
+  played(0, 1, 0x993caa82), played(0, 2, 0x3106996e);
+}
+TEST_CASE("the decisions of model days are those recorded: probes") {
+  played(1, 1, 0xf6a0c5c0), played(1, 2, 0x0f7de8e1);
+}
+TEST_CASE("the decisions of model days are those recorded: an inner tier") {
+  played(2, 1, 0xb75284a6), played(2, 2, 0x849e9dad);
+}
+TEST_CASE("the decisions of model days are those recorded: many nodes") {
+  played(3, 1, 0xf0c558a4), played(3, 2, 0xd2b9d8f3);
+}
