--- a/tests/mesh/rumour_test.cpp
+++ b/tests/mesh/rumour_test.cpp
@@ -11,11 +11,13 @@
 using rumour::Machine;
 
 namespace {
-constexpr std::int64_t second = 1'000'000, two_rounds = 2 * (rumour::Rumour::round * 11 / 10 + 50'000) + 50'000;
+constexpr std::int64_t second = 1'000'000,
+                       two_rounds = 2 * (rumour::Rumour::round * 11 / 10 + 50'000) + 50'000;
 Machine core(int i) { return 100 + Machine(i); }
 Machine ambit(int i) { return 1000 + Machine(i); }
 
-// Ambits with cores whose state is settled from without: each has taken the changes up to a place of its own in the one order.
+// Ambits with cores whose state is settled from without: each has taken the changes up to a place of its own
+// in the one order.
 struct Town {
   struct Node {
     bool core = false;
@@ -24,7 +26,8 @@
     std::unique_ptr<creed::Creed> creed;
     std::unique_ptr<rumour::Rumour> rumour;
     std::unique_ptr<span::Memory> span;
-    std::map<std::string, std::uint64_t> lost;  // names that went without a tombstone in this life, with their numbers
+    std::map<std::string, std::uint64_t>
+        lost;  // names that went without a tombstone in this life, with their numbers
     std::map<std::string, std::uint64_t> held;
     std::uint64_t looked = 0;
   };
@@ -46,7 +49,9 @@
     for (const auto& [c, x] : nodes)
       if (x.core) seeds.push_back(c);
     n.creed = std::make_unique<creed::Creed>();
-    n.rumour = std::make_unique<rumour::Rumour>(rumour::Self{m, std::string("zone-") + char('a' + m % 3), n.core}, ++n.life, seeds, *n.creed, chance());
+    n.rumour =
+        std::make_unique<rumour::Rumour>(rumour::Self{m, std::string("zone-") + char('a' + m % 3), n.core},
+                                         ++n.life, seeds, *n.creed, chance());
     n.rumour->whole(n.core);
     n.span = std::make_unique<span::Memory>(net, m);
     n.span->listen([this, m](Machine from, std::string_view bytes) {
@@ -60,15 +65,18 @@
   void catch_up(Machine m) {
     Node& n = nodes.at(m);
     for (; n.taken < changes.size(); ++n.taken)
-      if (const Change& c = changes[n.taken]; c.floor) n.creed->let_go(c.floor);
-      else n.creed->take(c.item);
+      if (const Change& c = changes[n.taken]; c.floor)
+        n.creed->let_go(c.floor);
+      else
+        n.creed->take(c.item);
   }
   void catch_up() {
     for (auto& [m, n] : nodes)
       if (n.core && n.creed && !stale.contains(m)) catch_up(m);
   }
   // Settled by the cores that are not stale, and told of by one of them.
-  std::uint64_t settle(const std::string& name, bool dropped = false, const std::string& text = "{}", bool spreads = true) {
+  std::uint64_t settle(const std::string& name, bool dropped = false, const std::string& text = "{}",
+                       bool spreads = true) {
     const creed::Item* held = settled.find(name);
     const creed::Item i{name, held ? held->version + 1 : 1, dropped, dropped ? "" : text, ++number};
     settled.take(i), changes.push_back({i}), catch_up();
@@ -85,7 +93,8 @@
   }
 
   void cut(Machine a, Machine b) { net.cut.insert({a, b}), net.cut.insert({b, a}); }
-  void cut_off(Machine m, const std::function<bool(Machine)>& but = [](Machine) { return false; }) {
+  void cut_off(
+      Machine m, const std::function<bool(Machine)>& but = [](Machine) { return false; }) {
     for (const auto& [o, n] : nodes)
       if (o != m && !but(o)) cut(m, o);
   }
@@ -98,7 +107,8 @@
   }
   bool agree() const {
     for (const auto& [m, n] : nodes)
-      if (n.creed && (n.creed->items() != settled.items() || n.creed->floor() != settled.floor())) return false;
+      if (n.creed && (n.creed->items() != settled.items() || n.creed->floor() != settled.floor()))
+        return false;
     return true;
   }
   std::size_t standing(const std::string& name) const {
@@ -133,21 +143,26 @@
   }
   // What each ambit may hold at any time.
   void look(Machine m, Node& n) {
-    const auto fault = [&](const std::string& what, const std::string& name) { faults.push_back(std::to_string(m) + ": " + what + ": " + name); };
+    const auto fault = [&](const std::string& what, const std::string& name) {
+      faults.push_back(std::to_string(m) + ": " + what + ": " + name);
+    };
     for (const auto& [name, at] : n.held)
       if (!n.creed->find(name)) n.lost[name] = at;
     n.held.clear();
     for (const auto& [name, i] : n.creed->items()) {
       n.held[name] = i.at;
       if (i.at == 0 || i.at > changes.size() + number) fault("never settled", name);
-      if (const auto it = n.lost.find(name); it != n.lost.end() && i.at <= it->second) fault("came back", name);
+      if (const auto it = n.lost.find(name); it != n.lost.end() && i.at <= it->second)
+        fault("came back", name);
       // Held at or below its own floor: it was not let go of up to there.
       const creed::Item* now = settled.find(name);
-      if (i.at <= n.creed->floor() && (!now || now->at < i.at) && n.creed->floor() >= settled.floor()) fault("let go of, and held", name);
+      if (i.at <= n.creed->floor() && (!now || now->at < i.at) && n.creed->floor() >= settled.floor())
+        fault("let go of, and held", name);
     }
     for (const auto& [name, i] : settled.items())
       if (i.at <= n.creed->floor())
-        if (const creed::Item* own = n.creed->find(name); !own || own->at < i.at) fault("below its floor, and not held", name);
+        if (const creed::Item* own = n.creed->find(name); !own || own->at < i.at)
+          fault("below its floor, and not held", name);
   }
 };
 
@@ -159,7 +174,8 @@
 
 // Real cores with thousands of members that only send their digest each half second, to the cores in turn.
 struct Leases {
-  Leases(int members, int cores, std::uint32_t seed) : net(seed), silent(std::size_t(members)), bound(silent) {
+  Leases(int members, int cores, std::uint32_t seed)
+      : net(seed), silent(std::size_t(members)), bound(silent) {
     std::vector<Machine> all;
     for (int i = 0; i < cores; ++i) all.push_back(core(i));
     rumour::Outbox out;
@@ -170,7 +186,9 @@
       for (int i = 0; i < members; ++i)
         if (news.records.push_back(record_of(ambit(i))); news.records.size() == 100 || i + 1 == members)
           r->heard(0, 1, rumour::written(rumour::kind::news, std::exchange(news, {})), out);
-      net.heard[m] = [this, m](Machine from, std::string_view bytes) { act(m, [&](rumour::Outbox& o) { cores_.at(m)->heard(net.now, from, bytes, o); }); };
+      net.heard[m] = [this, m](Machine from, std::string_view bytes) {
+        act(m, [&](rumour::Outbox& o) { cores_.at(m)->heard(net.now, from, bytes, o); });
+      };
     }
   }
   void run(std::int64_t span) {
@@ -180,10 +198,15 @@
         if (net.heard.contains(m)) act(m, [&](rumour::Outbox& o) { r->tick(net.now, o); });
       const auto step = std::size_t(net.now / 50'000);
       std::vector<std::string> bytes;
-      for (auto& [m, r] : cores_) bytes.push_back(rumour::written(rumour::kind::digest, rumour::Told{false, true, creed.digest(), r->roll().digest(), {}, {}, false, 0}));
+      for (auto& [m, r] : cores_)
+        bytes.push_back(
+            rumour::written(rumour::kind::digest,
+                            rumour::Told{false, true, creed.digest(), r->roll().digest(), {}, {}, false, 0}));
       for (std::size_t i = step % 10; i < silent.size(); i += 10)
-        if (const std::size_t turn = (i / 10 + step / 10) % bytes.size(); !silent[i] && (!bound[i] || turn == 0)) {
-          const double loss = std::exchange(net.loss, bound[i] ? 0 : net.loss);  // theirs all come: what cores tell of them may be lost
+        if (const std::size_t turn = (i / 10 + step / 10) % bytes.size();
+            !silent[i] && (!bound[i] || turn == 0)) {
+          const double loss = std::exchange(
+              net.loss, bound[i] ? 0 : net.loss);  // theirs all come: what cores tell of them may be lost
           net.send(ambit(int(i)), core(int(turn)), bytes[turn]);
           net.loss = loss;
         }
@@ -214,7 +237,8 @@
       if (rumour::kind_of(d.bytes) == rumour::kind::digest)
         if (const auto t = rumour::read<rumour::Told>(d.bytes)) {
           most_leases = std::max(most_leases, t->leases.size());
-          for (const auto& l : t->leases) strangers += !cores_.at(m)->roll().find(l.machine), leases_told += l.machine >= ambit(0);
+          for (const auto& l : t->leases)
+            strangers += !cores_.at(m)->roll().find(l.machine), leases_told += l.machine >= ambit(0);
         }
       net.send(m, d.to, d.bytes);
     }
@@ -228,11 +252,15 @@
 
 TEST(Rumour, a_core_takes_the_records_of_rumours_but_no_items_and_lists_none_that_it_lacks) {
   creed::Creed held, others;
-  held.take({"c/a", 1, false, "{}", 1}), others.take({"c/a", 2, false, "{}", 4}), others.take({"c/b", 1, false, "{}", 5});
+  held.take({"c/a", 1, false, "{}", 1}), others.take({"c/a", 2, false, "{}", 4}),
+      others.take({"c/b", 1, false, "{}", 5});
   rumour::Rumour r({core(0), "z", true}, 1, {core(0), core(1)}, held, 7);
   r.whole(true);
   rumour::Outbox out;
-  r.heard(0, ambit(0), rumour::written(rumour::kind::news, rumour::News{{*others.find("c/a"), *others.find("c/b")}, {record_of(ambit(0))}, 0}), out);
+  r.heard(0, ambit(0),
+          rumour::written(rumour::kind::news,
+                          rumour::News{{*others.find("c/a"), *others.find("c/b")}, {record_of(ambit(0))}, 0}),
+          out);
   CHECK(held.find("c/a")->at == 1 && !held.find("c/b"));
   CHECK(r.roll().find(ambit(0)));
   out.clear();
@@ -271,7 +299,11 @@
   std::int64_t now = 0;
   rumour::Outbox out;
   const auto told_by = [&](Machine m, bool whole, std::vector<Machine> cores) {
-    r.heard(now, m, rumour::written(rumour::kind::digest, rumour::Told{true, whole, c.digest(), r.roll().digest(), std::move(cores), {}, true, 0}), out);
+    r.heard(now, m,
+            rumour::written(
+                rumour::kind::digest,
+                rumour::Told{true, whole, c.digest(), r.roll().digest(), std::move(cores), {}, true, 0}),
+            out);
   };
   const auto asks = [&] {  // who is asked so that an answer must come
     r.tick(now += 2 * second, out);
@@ -303,7 +335,8 @@
     r.heard(0, m, rumour::written(rumour::kind::digest, t), out);
     return out.empty() ? std::uint64_t(0) : rumour::read<rumour::Told>(out.at(0).bytes)->epoch;
   };
-  const std::vector<Machine> older{core(0), core(1), core(2)}, newer{core(0), core(1), core(9)}, wrong{core(5)};
+  const std::vector<Machine> older{core(0), core(1), core(2)}, newer{core(0), core(1), core(9)},
+      wrong{core(5)};
   CHECK(told(core(0), true, 4, older) == 0 && r.cores() == older);
   CHECK(told(core(5), false, 9, wrong) == 4 && r.cores() == older);  // who is not whole is not believed
   CHECK(told(ambit(1), true, 5, newer) == 0 && r.cores() == newer);
@@ -365,7 +398,8 @@
     t.run(2 * second);
     CHECK(t.standing("c/old") <= 2);
     t.net.cut.clear();
-    if (seed % 3 == 0) t.cut_off(ambit(1), no_core);  // one of them stays so, and hands over what the other loses
+    if (seed % 3 == 0)
+      t.cut_off(ambit(1), no_core);  // one of them stays so, and hands over what the other loses
     t.run(two_rounds);
     CHECK_FALSE(t.creed(ambit(0)).find("c/old"));
     CHECK(t.creed(ambit(0)).items() == t.settled.items());
@@ -392,18 +426,25 @@
 
 TEST(Rumour, who_hears_of_a_higher_floor_lists_only_where_more_than_old_tombstones_differ) {
   creed::Creed own, theirs;
-  for (const creed::Item& i : {creed::Item{"c/a", 1, false, "{}", 6}, creed::Item{"c/b", 1, false, "{}", 7}}) own.take(i), theirs.take(i);
+  for (const creed::Item& i : {creed::Item{"c/a", 1, false, "{}", 6}, creed::Item{"c/b", 1, false, "{}", 7}})
+    own.take(i), theirs.take(i);
   for (int i = 0; own.dropped() < 2; ++i)  // one of them in the part that differs
-    if (const std::string name = "c/gone" + std::to_string(i); (creed::part_of(name) == creed::part_of("c/new")) == (own.dropped() == 0)) own.take({name, 2, true, "", 5});
+    if (const std::string name = "c/gone" + std::to_string(i);
+        (creed::part_of(name) == creed::part_of("c/new")) == (own.dropped() == 0))
+      own.take({name, 2, true, "", 5});
   theirs.let_go(8), theirs.take({"c/new", 1, false, "{}", 12});
   rumour::Rumour r({ambit(0), "z", false}, 1, {core(0)}, own, 7);
   rumour::Outbox out;
   const auto told = [&](Machine m, bool of_core) {
     out.clear();
-    r.heard(0, m, rumour::written(rumour::kind::digest, rumour::Told{true, true, theirs.digest(), r.roll().digest(), {}, {}, of_core, 8}), out);
+    r.heard(0, m,
+            rumour::written(rumour::kind::digest,
+                            rumour::Told{true, true, theirs.digest(), r.roll().digest(), {}, {}, of_core, 8}),
+            out);
     std::vector<std::uint64_t> listed;
     for (const auto& d : out)
-      if (const auto l = rumour::read<rumour::Listing>(d.bytes); l && rumour::kind_of(d.bytes) == rumour::kind::listing)
+      if (const auto l = rumour::read<rumour::Listing>(d.bytes);
+          l && rumour::kind_of(d.bytes) == rumour::kind::listing)
         for (const auto& i : l->items) listed.push_back(i.at);
     return listed;
   };
@@ -413,9 +454,11 @@
   CHECK(told(core(0), true) == of_part && out.size() == 1);
   own.take(*theirs.find("c/new"));
   out.clear();
-  r.heard(0, core(0), rumour::written(rumour::kind::listing, rumour::Listing{true, true, 0, {0, 0xffff}, {}, {}}), out);
+  r.heard(0, core(0),
+          rumour::written(rumour::kind::listing, rumour::Listing{true, true, 0, {0, 0xffff}, {}, {}}), out);
   CHECK(out.empty());  // a core takes no items
-  CHECK(told(ambit(1), false).empty() && out.empty() && own.floor() == 0);  // a member's word: nothing to be said, nothing let go of
+  CHECK(told(ambit(1), false).empty() && out.empty() &&
+        own.floor() == 0);  // a member's word: nothing to be said, nothing let go of
   CHECK(told(core(0), true).empty() && out.empty() && own.floor() == 8);
   CHECK(own.items() == theirs.items() && r.caught_up());
 }
@@ -428,11 +471,14 @@
   t.settle("c/set-again", true), t.let_go(t.settle("c/gone", true));
   t.stale.insert(core(1));
   t.creed(ambit(0)).take({"c/set-again", 9, false, "{}", t.settle("c/set-again")});
-  for (int i = 0; i < 20; ++i) t.creed(ambit(0)).take({"c/late" + std::to_string(i), 1, false, "{}", t.settle("c/late" + std::to_string(i))});
+  for (int i = 0; i < 20; ++i)
+    t.creed(ambit(0)).take(
+        {"c/late" + std::to_string(i), 1, false, "{}", t.settle("c/late" + std::to_string(i))});
   t.net.cut.clear(), t.cut(ambit(0), core(0)), t.cut(core(0), core(1));
   t.run(two_rounds);
   CHECK_FALSE(t.creed(ambit(0)).find("c/gone"));
-  CHECK(t.creed(ambit(0)).stands("c/set-again") && t.creed(ambit(0)).stands("c/stays") && t.creed(ambit(0)).stands("c/late19"));
+  CHECK(t.creed(ambit(0)).stands("c/set-again") && t.creed(ambit(0)).stands("c/stays") &&
+        t.creed(ambit(0)).stands("c/late19"));
 }
 
 TEST(Rumour, thousands_of_items_are_taken_and_let_go_of_by_listings_in_pieces_that_each_fit_a_datagram) {
@@ -458,7 +504,8 @@
   for (const auto& [members, cores] : {std::pair(6'000, 3), std::pair(1'200, 7)}) {
     Leases l(members, cores, 6);
     l.net.loss = 0.05;
-    for (std::size_t i = 0; i < 300; ++i) l.bound[i] = true;  // heard by one core alone, in its turn: the others are told
+    for (std::size_t i = 0; i < 300; ++i)
+      l.bound[i] = true;  // heard by one core alone, in its turn: the others are told
     l.run(9 * second);
     CHECK_EQUAL(0, l.lapsed());
     l.net.cut = {{core(0), core(1)}, {core(1), core(0)}};  // and one of those by a third only
@@ -469,12 +516,14 @@
     l.run(6 * second);
     CHECK_EQUAL(0, l.lapsed());
     for (std::size_t i = 0; i < 50; ++i) l.silent[300 + 10 * i] = true;
-    l.net.send(9'999, core(0), rumour::written(rumour::kind::digest, rumour::Told()));  // whose record nobody has
+    l.net.send(9'999, core(0),
+               rumour::written(rumour::kind::digest, rumour::Told()));  // whose record nobody has
     l.run(rumour::Rumour::lease_term - 2 * second);
     CHECK_EQUAL(0, l.lapsed());
     l.run(2 * second + 4 * rumour::Rumour::round);
     for (int i = 0; i < 2; ++i) CHECK_EQUAL(50, l.lapsed(core(i)));
-    CHECK(l.longest < 20'000 && l.longest < rumour::longest_datagram && l.most_leases <= rumour::leases_at_once);
+    CHECK(l.longest < 20'000 && l.longest < rumour::longest_datagram &&
+          l.most_leases <= rumour::leases_at_once);
     CHECK_EQUAL(0, l.strangers);
     l.silent.assign(l.silent.size(), true);
     l.run(8 * rumour::Rumour::round);
@@ -488,7 +537,10 @@
   creed::Creed c;
   rumour::Rumour r({ambit(0), "z", false}, 1, {core(0), core(1), core(2), core(3)}, c, 7);
   rumour::Outbox out;
-  r.heard(0, core(0), rumour::written(rumour::kind::digest, rumour::Told{true, true, c.digest(), r.roll().digest(), {}, {}, true, 0}), out);
+  r.heard(0, core(0),
+          rumour::written(rumour::kind::digest,
+                          rumour::Told{true, true, c.digest(), r.roll().digest(), {}, {}, true, 0}),
+          out);
   std::map<Machine, std::int64_t> asked;
   for (std::int64_t now = 0; now < 60 * second; now += 100'000) {
     r.tick(now, out);
@@ -519,7 +571,9 @@
   creed::Creed c;
   rumour::Rumour r({ambit(0), "z", false}, 1, {core(0)}, c, 7);
   rumour::Outbox out;
-  const auto hears = [&](rumour::Record record) { r.heard(0, core(0), rumour::written(rumour::kind::news, rumour::News{{}, {std::move(record)}, 0}), out); };
+  const auto hears = [&](rumour::Record record) {
+    r.heard(0, core(0), rumour::written(rumour::kind::news, rumour::News{{}, {std::move(record)}, 0}), out);
+  };
   for (int i = 1; i <= 20; ++i) hears(record_of(ambit(i), i <= 10 ? "z" : "y"));
   for (const int i : {1, 11}) {
     rumour::Record gone = record_of(ambit(i), i == 1 ? "z" : "y");
@@ -535,7 +589,8 @@
   };
   for (int i = 0; i < 9'000; ++i) CHECK(tells() == std::make_pair(std::size_t(2), std::size_t(1)));
   CHECK_EQUAL(18, told.size());
-  for (const auto& [m, n] : told) CHECK(m != ambit(1) && m != ambit(11) && std::abs(n - (m <= ambit(10) ? 2'000 : 1'000)) < 150);
+  for (const auto& [m, n] : told)
+    CHECK(m != ambit(1) && m != ambit(11) && std::abs(n - (m <= ambit(10) ? 2'000 : 1'000)) < 150);
   for (int i = 12; i <= 20; ++i) {
     rumour::Record moved = record_of(ambit(i), "z");
     moved.word = 2;
@@ -559,17 +614,21 @@
   rumour::Outbox out;
   for (int i = 0; i < 4'000; ++i)
     for (int c = 0; c < 2; ++c)
-      if (i % 40 != c) t.rumour(core(c)).heard(0, 1, rumour::written(rumour::kind::news, rumour::News{{}, {record_of(ambit(i))}, 0}), out);
+      if (i % 40 != c)
+        t.rumour(core(c)).heard(
+            0, 1, rumour::written(rumour::kind::news, rumour::News{{}, {record_of(ambit(i))}, 0}), out);
   t.net.cut.clear();
   const auto before = t.sent[rumour::kind::news];
   t.run(4 * second);
   CHECK(t.rumour(core(0)).roll().digest() == t.rumour(core(1)).roll().digest());
   CHECK_EQUAL(4'002, t.rumour(core(0)).roll().entries().size());
-  CHECK(t.sent[rumour::kind::news] - before < 200);  // of 200 records in eights, some twice, each passed on to three
+  CHECK(t.sent[rumour::kind::news] - before <
+        200);  // of 200 records in eights, some twice, each passed on to three
   for (const auto& f : t.faults) FAIL(f.c_str());
 }
 
-// Whatever is drawn: nothing let go of comes back to a node that has lost it, nor to one whose floor is above it; all agree in the end.
+// Whatever is drawn: nothing let go of comes back to a node that has lost it, nor to one whose floor is above
+// it; all agree in the end.
 TEST(Rumour, floors_and_items_agree_after_drawn_changes_cuts_deaths_and_stale_cores) {
   for (std::uint32_t seed = 1000; seed < 1100; ++seed) {
     Town t(5, 3, seed);
@@ -581,10 +640,19 @@
         case 0:
         case 1:
         case 2:
-        case 3: t.settle("c/" + std::to_string(any(seed % 2 ? 6 : 60)), any(2) == 0, std::string(1, char('a' + any(26))), any(3) > 0); break;
-        case 4: t.let_go(t.number - std::min<std::uint64_t>(t.number, chance() % 12)); break;
-        case 5: t.cut_off(any(4) ? ambit(any(5)) : core(any(3))); break;
-        case 6: t.net.cut.clear(); break;
+        case 3:
+          t.settle("c/" + std::to_string(any(seed % 2 ? 6 : 60)), any(2) == 0,
+                   std::string(1, char('a' + any(26))), any(3) > 0);
+          break;
+        case 4:
+          t.let_go(t.number - std::min<std::uint64_t>(t.number, chance() % 12));
+          break;
+        case 5:
+          t.cut_off(any(4) ? ambit(any(5)) : core(any(3)));
+          break;
+        case 6:
+          t.net.cut.clear();
+          break;
         case 7: {
           const Machine m = ambit(any(5));
           t.kill(m), t.start(m);
--- a/tests/mesh/trove_test.cpp
+++ b/tests/mesh/trove_test.cpp
@@ -29,7 +29,8 @@
 
 namespace {
 
-// What a killed process leaves: two tables, a full log that is still needed, a newer one, synced puts in each.
+// What a killed process leaves: two tables, a full log that is still needed, a newer one, synced puts in
+// each.
 struct Left {
   Folder folder;
   Pairs held;
@@ -46,7 +47,8 @@
       states.push_back(held);
     }
     for (std::size_t i = 0; i < 4; ++i) {
-      why += trouble_of<void>([&, batch = Trove::Batch{{{"n", std::to_string(states.size())}}, {}}] { return t->put(batch); });
+      why += trouble_of<void>(
+          [&, batch = Trove::Batch{{{"n", std::to_string(states.size())}}, {}}] { return t->put(batch); });
       held["n"] = std::to_string(states.size());
       states.push_back(held);
     }
@@ -102,14 +104,15 @@
 
 }  // namespace
 
-// Each file in turn gone, emptied, cut or with a bit turned: it opens as it was, or not at all. The newest log's end alone may
-// go unseen: whoever kept a later number tells that one.
+// Each file in turn gone, emptied, cut or with a bit turned: it opens as it was, or not at all. The newest
+// log's end alone may go unseen: whoever kept a later number tells that one.
 TEST(Disk, a_store_that_lacks_what_was_synced_does_not_open) {
   const Left left(1);
   Chance chance(2);
   int told = 0, whole = 0, shorter = 0;
   for (const auto& [name, bytes] : files_of(left.left())) {
-    std::vector<std::pair<std::string, std::optional<std::string>>> damages{{"gone", std::nullopt}, {"emptied", std::string()}};
+    std::vector<std::pair<std::string, std::optional<std::string>>> damages{{"gone", std::nullopt},
+                                                                            {"emptied", std::string()}};
     if (!bytes.empty()) damages.emplace_back("without its last byte", bytes.substr(0, bytes.size() - 1));
     for (int i = 0; i < 8 && !bytes.empty(); ++i) {
       const std::size_t at = below(chance, bytes.size());
@@ -120,22 +123,30 @@
     }
     for (const auto& [what, text] : damages) {
       const std::string folder = left.again(), where = name + " " + what;
-      if (text) write(folder + "/" + name, *text);
-      else fs::remove(folder + "/" + name);
+      if (text)
+        write(folder + "/" + name, *text);
+      else
+        fs::remove(folder + "/" + name);
       const Seen s = seen(folder);
-      if (s.why.empty() != s.look.damage.empty()) FAIL((where + ": opened: '" + s.why + "', looked at: " + (s.look.damage.empty() ? "nothing" : s.look.damage[0])).c_str());
+      if (s.why.empty() != s.look.damage.empty())
+        FAIL((where + ": opened: '" + s.why +
+              "', looked at: " + (s.look.damage.empty() ? "nothing" : s.look.damage[0]))
+                 .c_str());
       if (!s.why.empty()) {
         ++told;
-        if (!s.why.starts_with("damage|" + folder) || s.why.find(folder + "/") == std::string::npos) FAIL((where + ": which file? " + s.why).c_str());
+        if (!s.why.starts_with("damage|" + folder) || s.why.find(folder + "/") == std::string::npos)
+          FAIL((where + ": which file? " + s.why).c_str());
         continue;
       }
-      if (Pairs(s.look.pairs.begin(), s.look.pairs.end()) != s.held) FAIL((where + ": looked at, it differs").c_str());
+      if (Pairs(s.look.pairs.begin(), s.look.pairs.end()) != s.held)
+        FAIL((where + ": looked at, it differs").c_str());
       if (s.held == left.held) {
         ++whole;
         continue;
       }
       const std::size_t n = s.held.contains("n") ? std::stoul(s.held.at("n")) : 0;
-      const bool end = name == left.last_log && n < left.states.size() && s.held == left.states[n] && (what.starts_with("turned") ? n + 2 >= left.states.size() : true);
+      const bool end = name == left.last_log && n < left.states.size() && s.held == left.states[n] &&
+                       (what.starts_with("turned") ? n + 2 >= left.states.size() : true);
       if (!end) FAIL((where + ": opened as put " + std::to_string(n)).c_str());
       ++shorter;
     }
@@ -189,7 +200,8 @@
   }
   char locked = 'n';
   CHECK_EQUAL(1, ::read(ready[0], &locked, 1));
-  const std::string in_use = why(), second = trouble_of<std::unique_ptr<Trove>>([&] { return trove::open(f.path); });
+  const std::string in_use = why(),
+                    second = trouble_of<std::unique_ptr<Trove>>([&] { return trove::open(f.path); });
   for (const int fd : {done[1], done[0], ready[0], ready[1]}) ::close(fd);
   int status = 1;
   ::waitpid(other, &status, 0);
@@ -211,7 +223,8 @@
     CHECK(db->Put({}, "own", value).ok() && db->Put({}, "i/a", "1").ok());
   };
   by_itself("0"), by_itself("1");
-  for (const char* log : {"/000005.log", "/000006.log"}) std::ofstream(f.path + log, std::ios::app) << "torn";  // one let go of, and the last
+  for (const char* log : {"/000005.log", "/000006.log"})
+    std::ofstream(f.path + log, std::ios::app) << "torn";  // one let go of, and the last
   Pairs held;
   for (int life = 0; life < 2; ++life) {
     std::unique_ptr<Trove> t;
@@ -225,7 +238,8 @@
   CHECK(held == (Pairs{{"i/a", "2"}, {"own", "1"}}));
 }
 
-// Each call in turn that a history makes of its files fails, once: the put that meets it fails, and so does each after it.
+// Each call in turn that a history makes of its files fails, once: the put that meets it fails, and so does
+// each after it.
 TEST(Disk, one_failing_call_is_final) {
   std::size_t met = 0;
   for (std::size_t at = 0; at < 400; at += 3) {
@@ -242,8 +256,11 @@
     Chance chance(std::uint32_t(7));
     for (std::size_t i = 1; i <= 60; ++i) {
       const bool before = files.failed;
-      const bool good = trouble_of<void>([&, batch = drawn_batch(chance, i, held)] { return t->put(batch, i % 2 ? lasting::synced : lasting::in_time); }).empty();
-      if (good && (refused || before)) FAIL(("call " + std::to_string(at) + ", put " + std::to_string(i) + " taken").c_str());
+      const bool good = trouble_of<void>([&, batch = drawn_batch(chance, i, held)] {
+                          return t->put(batch, i % 2 ? lasting::synced : lasting::in_time);
+                        }).empty();
+      if (good && (refused || before))
+        FAIL(("call " + std::to_string(at) + ", put " + std::to_string(i) + " taken").c_str());
       refused = !good;
       files.work();
     }
@@ -263,11 +280,14 @@
   for (int i = 0; i < 60'000; ++i) {
     std::string text(200, '\0');
     for (char& c : text) c = char(chance());
-    const Trove::Batch batch{{{"i/" + std::to_string(i), text}}, i < 1'000 ? std::vector<std::string>() : std::vector<std::string>{"i/" + std::to_string(i - 1'000)}};
+    const Trove::Batch batch{
+        {{"i/" + std::to_string(i), text}},
+        i < 1'000 ? std::vector<std::string>() : std::vector<std::string>{"i/" + std::to_string(i - 1'000)}};
     CHECK(trouble_of<void>([&] { return t->put(batch, lasting::in_time); }).empty());
     files.work();
     files.events.clear();
-    if (i % 500 == 0) trouble_of<void>([&]() -> trove::result<void> {
+    if (i % 500 == 0)
+      trouble_of<void>([&]() -> trove::result<void> {
         BOOST_LEAF_AUTO(size, t->bytes());
         most = std::max(most, size);
         return {};
--- a/tests/mesh/world.h
+++ b/tests/mesh/world.h
@@ -1,6 +1,7 @@
-// A world of core machines for the explorer: locus::Keep, rumour::Rumour and creed::Creed as they are, over a network that is
-// a bag of letters, disks as LevelDB has them, and a clock for each machine. Beside them stands what was settled and what
-// operators were told, kept in words of its own and held against all that any core holds, says or answers.
+// A world of core machines for the explorer: locus::Keep, rumour::Rumour and creed::Creed as they are, over a
+// network that is a bag of letters, disks as LevelDB has them, and a clock for each machine. Beside them
+// stands what was settled and what operators were told, kept in words of its own and held against all that
+// any core holds, says or answers.
 #pragma once
 
 #include <algorithm>
@@ -26,7 +27,9 @@
 using What = locus::Order::what;
 using Items = creed::Creed::Items;
 
-inline std::uint64_t mixed(std::uint64_t h, std::uint64_t x) { return creed::hashed({reinterpret_cast<const char*>(&x), sizeof x}, h); }
+inline std::uint64_t mixed(std::uint64_t h, std::uint64_t x) {
+  return creed::hashed({reinterpret_cast<const char*>(&x), sizeof x}, h);
+}
 inline std::uint64_t mixed(std::uint64_t h, std::string_view x) { return creed::hashed(x, h); }
 
 // An operator's call, and what it asks for in words of the explorer's own.
@@ -37,7 +40,8 @@
   bool invalid = false;                                    // whatever stands
 
   bool brings(const Item& i) const {
-    if (order.is == What::begin || order.is == What::finish) return i.name == std::string(creed::evacuation_mark) + order.text;
+    if (order.is == What::begin || order.is == What::finish)
+      return i.name == std::string(creed::evacuation_mark) + order.text;
     return std::any_of(items.begin(), items.end(), [&](const Item& x) { return creed::same_wording(x, i); });
   }
   // Two that can't both be taken, whichever comes first.
@@ -57,7 +61,8 @@
   return c;
 }
 inline std::string drop_text(const std::string& label, int version) {
-  return R"({"label":")" + label + R"(","revision":")" + creed::version_text(std::uint64_t(version)) + R"("})";
+  return R"({"label":")" + label + R"(","revision":")" + creed::version_text(std::uint64_t(version)) +
+         R"("})";
 }
 inline Call route(int version, const std::string& target, const std::string& label = "r0") {
   return change(one_route(creed::version_text(std::uint64_t(version)), target, label));
@@ -66,7 +71,8 @@
   return change(R"({"remove":{")" + list + R"(":[)" + drop_text(label, version) + "]}}");
 }
 // A route set and another dropped, in one call.
-inline Call both(int version, const std::string& target, const std::string& label, const std::string& dropped) {
+inline Call both(int version, const std::string& target, const std::string& label,
+                 const std::string& dropped) {
   std::string text = one_route(creed::version_text(std::uint64_t(version)), target, label);
   text.pop_back();
   return change(text + R"(,"remove":{"channels":[)" + drop_text(dropped, version) + "]}}");
@@ -75,8 +81,9 @@
 inline Call size(const std::string& voters) { return {{What::size, voters}, {}, {}, false}; }
 inline Call zone(bool begin) { return {{begin ? What::begin : What::finish, "zone-a"}, {}, {}, false}; }
 
-// What a disk holds. A batch is there whole or not at all, since LevelDB's is ("a put may tear" of the older explorer was too
-// hard on it); a loss of power takes those that were put in time from the end on, as far as it likes.
+// What a disk holds. A batch is there whole or not at all, since LevelDB's is ("a put may tear" of the older
+// explorer was too hard on it); a loss of power takes those that were put in time from the end on, as far as
+// it likes.
 struct Disk {
   using Batch = trove::Trove::Batch;
   std::map<std::string, std::string> lasts;
@@ -111,11 +118,14 @@
 
 class Store : public trove::Trove {
  public:
-  explicit Store(std::shared_ptr<Disk> disk) : disk_(std::move(disk)) { disk_->settle(); }  // opened: what was found is synced
+  explicit Store(std::shared_ptr<Disk> disk) : disk_(std::move(disk)) {
+    disk_->settle();
+  }                 // opened: what was found is synced
   int spared = -1;  // the process dies once so many more puts are there; below 0: it does not
   bool died = false;
   trove::result<void> put(const Batch& batch, lasting how = lasting::synced) override {
-    if (died || spared == 0) return died = true, boost::leaf::new_error(trove::Trouble{"sync", "memory", "died"});
+    if (died || spared == 0)
+      return died = true, boost::leaf::new_error(trove::Trouble{"sync", "memory", "died"});
     if (spared > 0) --spared;
     disk_->since.push_back(batch);
     if (how == lasting::synced) disk_->settle();
@@ -133,11 +143,11 @@
 
 struct Plot {
   std::string name;
-  std::vector<std::vector<Call>> scripts;  // each operator's calls one after the other, each to any core
+  std::vector<std::vector<Call>> scripts;    // each operator's calls one after the other, each to any core
   int voters = 3, standbys = 0, vacant = 0;  // machines; vacant: addresses at which nobody has been yet
   bool gossip = false, beats = false;        // else they are lost until the end
-  // At most: deaths, of them in the midst of a put and with the disk; older disks put back; what comes twice; calls sent again;
-  // times that a core's clock ticks, and that it leaps.
+  // At most: deaths, of them in the midst of a put and with the disk; older disks put back; what comes twice;
+  // calls sent again; times that a core's clock ticks, and that it leaps.
   int deaths = 0, torn = 0, wipes = 0, olds = 0, doubles = 0, agains = 0, ticks = 0, leaps = 0;
   // Drawn plays only: losses of power everywhere, new machines, planned ends, cuts, freezes.
   int powers = 0, joins = 0, leaves = 0, cuts = 0, freezes = 0;
@@ -159,7 +169,8 @@
   if (c.order.is == What::begin || c.order.is == What::finish)
     return stands(std::string(creed::evacuation_mark) + c.order.text) == (c.order.is == What::begin);
   return std::all_of(c.items.begin(), c.items.end(), [&](const Item& i) {
-    if (const auto it = s.items.find(i.name); it != s.items.end()) return it->second.version > i.version || creed::same_wording(it->second, i);
+    if (const auto it = s.items.find(i.name); it != s.items.end())
+      return it->second.version > i.version || creed::same_wording(it->second, i);
     const auto gone = let_go.find(i.name);
     return gone != let_go.end() && gone->second >= i.version;
   });
@@ -200,19 +211,21 @@
   std::map<std::string, std::string> chosen;   // by register and version
   std::set<std::string> lost;                  // stores that are gone
   std::size_t fewest = 99;                     // voters that any order has asked for
-  int strikes = 0, handovers = 0;              // what was done to machines; seats that were given to another store
-  std::set<int> hurt;                          // machines that lost theirs and are not as before yet
+  int strikes = 0, handovers = 0;  // what was done to machines; seats that were given to another store
+  std::set<int> hurt;              // machines that lost theirs and are not as before yet
   std::uint64_t print = 0;
   std::uint64_t top() const { return states.empty() ? 0 : states.rbegin()->first; }
   bool agreed() const {  // no seat is a lost store's
-    return !voters.changing() && std::none_of(voters.now.begin(), voters.now.end(), [&](const auto& s) { return lost.contains(s.store); });
+    return !voters.changing() && std::none_of(voters.now.begin(), voters.now.end(),
+                                              [&](const auto& s) { return lost.contains(s.store); });
   }
 };
 
 inline std::string differs(const State& s, const creed::Creed& c) {
   std::string told = s.floor == c.floor() ? "" : ", another floor";
   for (const auto& [name, i] : s.items)
-    if (const Item* held = c.find(name); !held || *held != i) told += ", " + name + (held ? " differs" : " lacks");
+    if (const Item* held = c.find(name); !held || *held != i)
+      told += ", " + name + (held ? " differs" : " lacks");
   for (const auto& [name, i] : c.items())
     if (!s.items.contains(name)) told += ", " + name + " beside";
   return told;
@@ -221,7 +234,26 @@
 class World {
  public:
   using Letter = std::tuple<int, int, std::string>;  // from, to, bytes
-  enum class does { deliver, twice, call, again, tick, leap, kill, wipe, older, start, power, join, leave, cut, mend, freeze, wake, run };
+  enum class does {
+    deliver,
+    twice,
+    call,
+    again,
+    tick,
+    leap,
+    kill,
+    wipe,
+    older,
+    start,
+    power,
+    join,
+    leave,
+    cut,
+    mend,
+    freeze,
+    wake,
+    run
+  };
   struct Step {
     does is{};
     int who = 0, spared = -1;  // a machine; or who calls
@@ -229,12 +261,14 @@
     std::uint32_t seed = 0;
     std::string told() const;
   };
-  static constexpr std::int64_t patience = 850'000, in_contact = 1'500'000, second = 1'000'000;  // microseconds, as promised
+  static constexpr std::int64_t patience = 850'000, in_contact = 1'500'000,
+                                second = 1'000'000;  // microseconds, as promised
 
   // `all`: for every order of steps, where what a core says to itself comes at once.
   explicit World(const Plot& p, bool all = false) : World(p, all, base(p)) {}
   // The same after a loss of power everywhere, one disk perhaps gone with it.
-  World(const World& of, int wiped) : plot_(of.plot_), left_(of.left_), truth_(of.truth_), live_(of.live_), clock_(of.clock_) {
+  World(const World& of, int wiped)
+      : plot_(of.plot_), left_(of.left_), truth_(of.truth_), live_(of.live_), clock_(of.clock_) {
     nodes_.resize(of.nodes_.size());
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       nodes_[i].disk = std::make_shared<Disk>(*of.nodes_[i].disk);
@@ -250,12 +284,17 @@
   std::vector<Step> options(bool drawn) const;
   bool take(const Step& s);  // false: it can't be done now
 
-  // What tells two states apart: what each life has heard since its start, what is under way, what operators know.
+  // What tells two states apart: what each life has heard since its start, what is under way, what operators
+  // know.
   std::uint64_t print() const {
     std::uint64_t h = mixed(known(), truth_.print);
-    for (const int x : {left_.deaths, left_.torn, left_.wipes, left_.olds, left_.doubles, left_.agains, left_.ticks, left_.leaps}) h = mixed(h, std::uint64_t(x));
+    for (const int x : {left_.deaths, left_.torn, left_.wipes, left_.olds, left_.doubles, left_.agains,
+                        left_.ticks, left_.leaps})
+      h = mixed(h, std::uint64_t(x));
     for (const Node& n : nodes_) h = mixed(h, n.keep ? n.story : mixed(n.life * 2, n.disk->print()));
-    for (const auto& [l, copies] : net_) h = mixed(mixed(h, std::get<2>(l)), std::uint64_t(copies * 4096 + std::get<0>(l) * 64 + std::get<1>(l)));
+    for (const auto& [l, copies] : net_)
+      h = mixed(mixed(h, std::get<2>(l)),
+                std::uint64_t(copies * 4096 + std::get<0>(l) * 64 + std::get<1>(l)));
     for (const auto& a : at_) h = mixed(h, a.next * 64 + std::uint64_t(a.live + 1));
     return h;
   }
@@ -279,7 +318,9 @@
   std::size_t machines() const { return nodes_.size(); }
   bool is_there(int i) const { return nodes_[i].there; }
   std::size_t acknowledged() const {
-    return std::size_t(std::count_if(live_.begin(), live_.end(), [](const Live& l) { return l.status == 200 && l.call->order.is != What::read; }));
+    return std::size_t(std::count_if(live_.begin(), live_.end(), [](const Live& l) {
+      return l.status == 200 && l.call->order.is != What::read;
+    }));
   }
   std::uint64_t epoch() const { return truth_.voters.version; }
   std::string broken;
@@ -294,8 +335,9 @@
     bool there = false, cut = false, frozen = false, leaving = false;
     std::uint64_t life = 0, story = 0, looked = 0, number = 0, epoch = 0;
     std::int64_t now = 0, ahead = 0;  // its clock, and by how much that is before the world's
-    std::deque<std::pair<std::int64_t, std::uint64_t>> past;  // what was settled as its clock went on from there
-    std::uint64_t least = 0;                                  // what was, longer ago than an answered beat may be
+    std::deque<std::pair<std::int64_t, std::uint64_t>>
+        past;                 // what was settled as its clock went on from there
+    std::uint64_t least = 0;  // what was, longer ago than an answered beat may be
   };
   struct Live {
     const Call* call = nullptr;
@@ -303,7 +345,7 @@
     std::uint64_t before = 0;   // what was settled as it began
     std::int64_t began = 0;     // by its core's clock
     std::string body{};
-    std::uint64_t until = 0;    // and as it ended
+    std::uint64_t until = 0;  // and as it ended
   };
   struct At {
     std::size_t next = 0;
@@ -325,7 +367,9 @@
   }
   std::uint64_t known() const {
     std::uint64_t h = std::uint64_t(left_.wipes);
-    for (const Live& l : live_) h = mixed(h, mixed(std::uint64_t(l.status + 1) * 4096 + l.before * 64 + std::uint64_t(l.core), l.call->order.text));
+    for (const Live& l : live_)
+      h = mixed(h, mixed(std::uint64_t(l.status + 1) * 4096 + l.before * 64 + std::uint64_t(l.core),
+                         l.call->order.text));
     return h;
   }
 
@@ -354,7 +398,9 @@
   }
   // Another call than a refused one has brought this; or its own, sent another time.
   bool brought(const Item& i) const {
-    return std::any_of(live_.begin(), live_.end(), [&](const Live& l) { return (l.status < 400 || l.status >= 500) && l.call->brings(i); });
+    return std::any_of(live_.begin(), live_.end(), [&](const Live& l) {
+      return (l.status < 400 || l.status >= 500) && l.call->brings(i);
+    });
   }
   bool until(std::int64_t within, std::uint32_t seed, const std::function<bool()>& holds);
   bool taken(const Call& c, int i, std::int64_t within, std::uint32_t seed);
@@ -374,8 +420,11 @@
 };
 
 inline std::string World::Step::told() const {
-  static const char* const names[] = {"deliver", "twice", "call", "again", "tick", "leap", "kill", "wipe", "older", "start", "power", "join", "leave", "cut", "mend", "freeze", "wake", "run"};
-  static const char* const rumours[] = {"?", "news", "digest", "fetch", "fetched", "store", "stored", "listing"};
+  static const char* const names[] = {"deliver", "twice", "call",  "again",  "tick",  "leap",
+                                      "kill",    "wipe",  "older", "start",  "power", "join",
+                                      "leave",   "cut",   "mend",  "freeze", "wake",  "run"};
+  static const char* const rumours[] = {"?",       "news",  "digest", "fetch",
+                                        "fetched", "store", "stored", "listing"};
   static const char* const kinds[] = {"ask", "answer", "beat", "fetch", "fetched", "part"};
   static const char* const phases[] = {"look", "prepare", "accept", "names"};
   std::string s = std::string(names[int(is)]) + " " + std::to_string(who);
@@ -383,26 +432,34 @@
   if (is <= does::twice) {
     const std::string& b = std::get<2>(letter);
     const auto ballot = [](const consensus::Ballot& x) { return std::to_string(x.round) + "/" + x.proposer; };
-    if (!locus::among_cores(b)) s += std::string(" ") + rumours[int(rumour::kind_of(b)) & 7];
-    else s += std::string(" ") + kinds[(int(b[0]) - 16) % 6];
+    if (!locus::among_cores(b))
+      s += std::string(" ") + rumours[int(rumour::kind_of(b)) & 7];
+    else
+      s += std::string(" ") + kinds[(int(b[0]) - 16) % 6];
     if (b[0] == char(locus::kind::ask))
-      if (const auto a = locus::read_whole<locus::Asking>(b)) s += std::string(" ") + phases[int(a->ask.what)] + " " + a->ask.name + " " + ballot(a->ask.ballot) + " of " + std::to_string(a->ask.value.version);
+      if (const auto a = locus::read_whole<locus::Asking>(b))
+        s += std::string(" ") + phases[int(a->ask.what)] + " " + a->ask.name + " " + ballot(a->ask.ballot) +
+             " of " + std::to_string(a->ask.value.version);
     if (b[0] == char(locus::kind::answer))
       if (const auto a = locus::read_whole<locus::Answering>(b))
-        s += std::string(" ") + phases[int(a->reply.what)] + " " + ballot(a->reply.ballot) + " " + std::to_string(int(a->reply.how)) + " accepted " + std::to_string(a->reply.value.version) + " holds " + std::to_string(a->holds.number);
+        s += std::string(" ") + phases[int(a->reply.what)] + " " + ballot(a->reply.ballot) + " " +
+             std::to_string(int(a->reply.how)) + " accepted " + std::to_string(a->reply.value.version) +
+             " holds " + std::to_string(a->holds.number);
   }
   if (spared >= 0) s += ", dies, puts spared " + std::to_string(spared);
   return seed == 0 ? s : s + " #" + std::to_string(seed);
 }
 
-// ---- the base: a founded system with a first configuration, from which plays begin with all machines just started ----
+// ---- the base: a founded system with a first configuration, from which plays begin with all machines just
+// started ----
 
 inline std::shared_ptr<const World::Base> World::founded(const Plot& p) {
   static const Plot plain{};
   auto b = std::make_shared<Base>();
   const int n = p.voters + p.standbys + p.vacant;
   b->clock = 1'000'000;
-  for (int i = 0; i < n; ++i) b->disks.push_back(std::make_shared<Disk>()), b->older.push_back(std::make_shared<Disk>());
+  for (int i = 0; i < n; ++i)
+    b->disks.push_back(std::make_shared<Disk>()), b->older.push_back(std::make_shared<Disk>());
   Plot plot = p;
   plot.scripts.clear();
   World w(plot, false, *b);
@@ -411,7 +468,8 @@
   const auto does_call = [&](const Call& c) {
     if (!w.taken(c, 0, 3 * second, 1)) w.fail("the first calls are not taken");
   };
-  static const Call first = change(first_call("00000001", 1)), more = route(1, "one", "r1"), later = both(2, "two", "r2", "r1"), gone = drop("targets", "three", 1);
+  static const Call first = change(first_call("00000001", 1)), more = route(1, "one", "r1"),
+                    later = both(2, "two", "r2", "r1"), gone = drop("targets", "three", 1);
   does_call(first), does_call(more);
   if (!w.until(4 * second, 2, [&] { return w.agree(); })) w.fail("at first the copies differ");
   for (int i = 0; i < n; ++i) *b->older[i] = *w.nodes_[i].disk, b->older[i]->settle();
@@ -424,12 +482,15 @@
   if (p.pruned) {  // by hand, as it would come about beyond most_dropped
     State s = *b->truth.states.rbegin()->second;
     s.floor = b->truth.top();
-    std::erase_if(s.items, [&](const auto& x) { return x.second.dropped && (b->truth.let_go[x.first] = x.second.version, true); });
+    std::erase_if(s.items, [&](const auto& x) {
+      return x.second.dropped && (b->truth.let_go[x.first] = x.second.version, true);
+    });
     b->truth.states[b->truth.top()] = std::make_shared<const State>(std::move(s));
     for (auto& d : b->disks) {
       if (d->empty()) continue;
       std::vector<trove::Trove::Pair> pairs(d->lasts.begin(), d->lasts.end());
-      const auto k = boost::leaf::try_handle_all([&] { return locus::kept(pairs); }, [] { return locus::Kept{}; });
+      const auto k =
+          boost::leaf::try_handle_all([&] { return locus::kept(pairs); }, [] { return locus::Kept{}; });
       trove::Trove::Batch batch;
       locus::Own own = *k.own;
       own.floor = own.holds.number;
@@ -449,7 +510,8 @@
   return *b;
 }
 
-inline World::World(const Plot& p, bool all, const Base& b) : plot_(p), left_(p), truth_(b.truth), clock_(b.clock), all_(all) {
+inline World::World(const Plot& p, bool all, const Base& b)
+    : plot_(p), left_(p), truth_(b.truth), clock_(b.clock), all_(all) {
   nodes_.resize(b.disks.size());
   at_.resize(p.scripts.size());
   bool begun = false;
@@ -474,7 +536,9 @@
 
 inline std::vector<World::Step> World::options(bool drawn) const {
   std::vector<Step> found;
-  const auto add = [&](does is, int who, int spared = -1, Letter l = {}) { found.push_back({is, who, spared, std::move(l), 0}); };
+  const auto add = [&](does is, int who, int spared = -1, Letter l = {}) {
+    found.push_back({is, who, spared, std::move(l), 0});
+  };
   for (const auto& [l, copies] : net_) {
     const Node& to = nodes_[std::get<1>(l)];
     if (!to.keep || to.frozen) continue;
@@ -500,16 +564,21 @@
     }
     if (!n.keep) add(does::start, i);
     if (n.keep && left_.deaths > 0) add(does::kill, i);
-    if (left_.wipes > 0 && left_.deaths > 0 && may_wipe()) add(does::wipe, i), add(does::wipe, i, (i + 1) % int(nodes_.size()));
+    if (left_.wipes > 0 && left_.deaths > 0 && may_wipe())
+      add(does::wipe, i), add(does::wipe, i, (i + 1) % int(nodes_.size()));
     if (left_.olds > 0 && left_.deaths > 0 && may_wipe() && down + frozen + cut == 0) add(does::older, i);
     if (n.keep && !n.frozen && left_.ticks > 0) add(does::tick, i);
     if (n.keep && !n.frozen && left_.leaps > 0) add(does::leap, i);
     if (!drawn) continue;
     if (n.keep && !n.leaving && left_.leaves > 0 && down == 0) add(does::leave, i);
-    if (n.cut) add(does::mend, i);
-    else if (left_.cuts > 0) add(does::cut, i);
-    if (n.frozen) add(does::wake, i);
-    else if (n.keep && left_.freezes > 0) add(does::freeze, i);
+    if (n.cut)
+      add(does::mend, i);
+    else if (left_.cuts > 0)
+      add(does::cut, i);
+    if (n.frozen)
+      add(does::wake, i);
+    else if (n.keep && left_.freezes > 0)
+      add(does::freeze, i);
   }
   if (drawn && left_.powers > 0) add(does::power, 0);
   if (drawn) add(does::run, 0);
@@ -518,9 +587,13 @@
 
 inline bool World::take(const Step& s) {
   // Each costs a machine its seat at the most, or another one's ears.
-  if (s.is == does::power) truth_.strikes += int(nodes_.size());
-  else if (s.is >= does::leap && s.is <= does::freeze && s.is != does::start && s.is != does::join && s.is != does::mend) ++truth_.strikes;
-  else if (s.spared >= 0 && s.is == does::deliver) ++truth_.strikes;
+  if (s.is == does::power)
+    truth_.strikes += int(nodes_.size());
+  else if (s.is >= does::leap && s.is <= does::freeze && s.is != does::start && s.is != does::join &&
+           s.is != does::mend)
+    ++truth_.strikes;
+  else if (s.spared >= 0 && s.is == does::deliver)
+    ++truth_.strikes;
   const bool is_machine = s.is > does::again && s.is != does::run && s.is != does::power;
   if (is_machine && s.who >= int(nodes_.size())) return false;
   Node& n = nodes_[is_machine ? s.who : s.is <= does::again ? std::get<1>(s.letter) : 0];
@@ -531,8 +604,10 @@
     case does::twice: {
       const auto it = net_.find(s.letter);
       if (it == net_.end() || !awake) return false;
-      if (s.is == does::twice) --left_.doubles;
-      else if (--it->second == 0) net_.erase(it);
+      if (s.is == does::twice)
+        --left_.doubles;
+      else if (--it->second == 0)
+        net_.erase(it);
       return deliver(s.letter, s.spared), true;
     }
     case does::call:
@@ -543,20 +618,27 @@
       const Call& c = s.is == does::call ? plot_.scripts[s.who][a.next++] : *live_[a.live].call;
       return a.live = call(c, std::get<1>(s.letter)), true;
     }
-    case does::tick: return awake && (--left_.ticks, n.ahead += 100'000, tick(s.who), true);
-    case does::leap:  // its process stood still: time has passed, and it hears what lies there before it looks at the clock
+    case does::tick:
+      return awake && (--left_.ticks, n.ahead += 100'000, tick(s.who), true);
+    case does::leap:  // its process stood still: time has passed, and it hears what lies there before it
+                      // looks at the clock
       if (!awake) return false;
-      return --left_.leaps, n.ahead += 6 * second, pass(n, clock_ + n.ahead), n.story = mixed(n.story, 7), true;
-    case does::kill: return n.keep && (--left_.deaths, kill(s.who), true);
+      return --left_.leaps, n.ahead += 6 * second, pass(n, clock_ + n.ahead), n.story = mixed(n.story, 7),
+                                                                              true;
+    case does::kill:
+      return n.keep && (--left_.deaths, kill(s.who), true);
     case does::wipe:  // its disk comes back empty, or as a copy of another's
       if (!n.there || !may_wipe()) return false;
       --left_.deaths, --left_.wipes, kill(s.who), lose_disk(s.who);
       *n.disk = s.spared < 0 ? Disk() : *nodes_[s.spared].disk;
       return true;
     case does::older: {
-      // What it has promised since nobody can tell but who has heard of it: it counts as lost until it has met all others, and
-      // none of them is lost in that time.
-      if (!n.keep || !may_wipe() || std::any_of(nodes_.begin(), nodes_.end(), [](const Node& o) { return o.there && (!o.keep || o.frozen || o.cut); })) return false;
+      // What it has promised since nobody can tell but who has heard of it: it counts as lost until it has
+      // met all others, and none of them is lost in that time.
+      if (!n.keep || !may_wipe() || std::any_of(nodes_.begin(), nodes_.end(), [](const Node& o) {
+            return o.there && (!o.keep || o.frozen || o.cut);
+          }))
+        return false;
       --left_.deaths, --left_.olds, kill(s.who);
       const std::string store = store_of(s.who);
       const auto top = truth_.top();
@@ -569,11 +651,13 @@
       if (n.keep && n.keep->store() != store) truth_.lost.insert(store), truth_.lost.erase(n.keep->store());
       return true;
     }
-    case does::start: return n.there && !n.keep && (start(s.who, false), true);
+    case does::start:
+      return n.there && !n.keep && (start(s.who, false), true);
     case does::power: {
       std::mt19937 chance(s.seed);
       --left_.powers;
-      for (int i = 0; i < int(nodes_.size()); ++i) kill(i), nodes_[i].disk->lose_power(chance() % (nodes_[i].disk->since.size() + 1));
+      for (int i = 0; i < int(nodes_.size()); ++i)
+        kill(i), nodes_[i].disk->lose_power(chance() % (nodes_[i].disk->since.size() + 1));
       return true;
     }
     case does::join:
@@ -583,10 +667,14 @@
       if (!awake || n.leaving) return false;
       --left_.leaves, n.leaving = true;
       return act(s.who, -1, [&](rumour::Outbox& out) { n.keep->leave(n.now, out); }), true;
-    case does::cut: return !n.cut && (--left_.cuts, n.cut = true);
-    case does::mend: return n.cut && (n.cut = false, true);
-    case does::freeze: return awake && (--left_.freezes, n.frozen = true);
-    case does::wake: return n.frozen && (n.frozen = false, pass(n, clock_ + n.ahead), true);
+    case does::cut:
+      return !n.cut && (--left_.cuts, n.cut = true);
+    case does::mend:
+      return n.cut && (n.cut = false, true);
+    case does::freeze:
+      return awake && (--left_.freezes, n.frozen = true);
+    case does::wake:
+      return n.frozen && (n.frozen = false, pass(n, clock_ + n.ahead), true);
     case does::run: {
       static constexpr std::int64_t spans[] = {2'000, 30'000, 400'000, 1'200'000, 5'000'000};
       std::mt19937 chance(s.seed);
@@ -609,9 +697,11 @@
   for (int c = 0; c < (first ? plot_.voters : int(nodes_.size())); ++c)
     if (nodes_[c].there && (first || (c != i && seeds.size() < 3))) seeds.push_back(machine(c));
   if (!first && seeds.size() < 3) seeds.push_back(machine(i));
-  n.rumour = std::make_unique<rumour::Rumour>(rumour::Self{machine(i), "zone", true}, n.life, seeds, *n.creed, std::uint32_t(i));
+  n.rumour = std::make_unique<rumour::Rumour>(rumour::Self{machine(i), "zone", true}, n.life, seeds, *n.creed,
+                                              std::uint32_t(i));
   n.store = std::make_unique<Store>(n.disk);
-  n.keep = std::make_unique<locus::Keep>(machine(i), *n.creed, *n.rumour, *n.store, mixed(n.life, std::uint64_t(i)));
+  n.keep = std::make_unique<locus::Keep>(machine(i), *n.creed, *n.rumour, *n.store,
+                                         mixed(n.life, std::uint64_t(i)));
   const std::string why = trouble_of<void>([&] { return n.keep->begin(n.now, first, seeds); });
   if (!why.empty()) return fail("core " + std::to_string(i) + " does not start: " + why);
   act(i, -1, [&](rumour::Outbox& out) { n.rumour->state(n.now, {}, out), n.keep->tick(n.now, out); });
@@ -629,7 +719,11 @@
   const auto held = nodes_[i].disk->written();
   const auto it = held.find(std::string(locus::own_name));
   if (it == held.end()) return {};
-  const auto k = boost::leaf::try_handle_all([&] { return locus::kept({{it->first, it->second}}); }, [] { return locus::Kept{}; });
+  const auto k = boost::leaf::try_handle_all(
+      [&] {
+        return locus::kept({{it->first, it->second}});
+      },
+      [] { return locus::Kept{}; });
   return k.own && k.own->machine == machine(i) ? k.own->store : std::string();  // else it is a copy
 }
 
@@ -641,24 +735,32 @@
 // As many machines may have lost their disks at once as leave a majority; each until all is as it was before.
 inline bool World::may_wipe() const {
   std::vector<consensus::Voters> lists{truth_.voters};
-  // And those under way: once one is accepted it may come to stand, with a seat of a store that has gone since it was proposed.
+  // And those under way: once one is accepted it may come to stand, with a seat of a store that has gone
+  // since it was proposed.
   for (const auto& [name, bid] : truth_.bids)
-    if (name.starts_with(consensus::voters_register) && bid.value.version > truth_.voters.version && !bid.accepted.empty())
-      if (const auto list = consensus::Voters::read(bid.value.version, bid.value.text)) lists.push_back(*list);
+    if (name.starts_with(consensus::voters_register) && bid.value.version > truth_.voters.version &&
+        !bid.accepted.empty())
+      if (const auto list = consensus::Voters::read(bid.value.version, bid.value.text))
+        lists.push_back(*list);
   for (const auto& list : lists)
     for (const auto* set : {&list.now, &list.next}) {
-      const auto gone = std::count_if(set->begin(), set->end(), [&](const auto& s) { return truth_.lost.contains(s.store); });
+      const auto gone = std::count_if(set->begin(), set->end(),
+                                      [&](const auto& s) { return truth_.lost.contains(s.store); });
       // From when fewer voters are asked for no more losses are borne than those bear.
-      if (!set->empty() && 2 * std::max(std::size_t(gone) + 1, truth_.hurt.size() + 1) >= std::min(set->size(), truth_.fewest)) return false;
+      if (!set->empty() &&
+          2 * std::max(std::size_t(gone) + 1, truth_.hurt.size() + 1) >= std::min(set->size(), truth_.fewest))
+        return false;
     }
   return true;
 }
 
 inline void World::mended() {
-  // Who is core has to be known to a majority of the list, and no later list be under way: what one alone knew to be settled goes
-  // with it, and a seat under way may be a store's that was lost before it had it.
+  // Who is core has to be known to a majority of the list, and no later list be under way: what one alone
+  // knew to be settled goes with it, and a seat under way may be a store's that was lost before it had it.
   for (const auto& [name, bid] : truth_.bids)
-    if (name.starts_with(consensus::voters_register) && bid.value.version > truth_.voters.version && !bid.accepted.empty()) return;
+    if (name.starts_with(consensus::voters_register) && bid.value.version > truth_.voters.version &&
+        !bid.accepted.empty())
+      return;
   std::set<std::string> know;
   for (const Node& n : nodes_)
     if (n.keep && n.keep->voters().version == truth_.voters.version) know.insert(n.keep->store());
@@ -673,7 +775,8 @@
   if (to <= n.now) return;
   n.past.emplace_back(n.now, truth_.top());
   n.now = to;
-  for (; !n.past.empty() && n.past.front().first < to - in_contact; n.past.pop_front()) n.least = n.past.front().second;
+  for (; !n.past.empty() && n.past.front().first < to - in_contact; n.past.pop_front())
+    n.least = n.past.front().second;
 }
 
 template <typename F>
@@ -705,8 +808,10 @@
   if (!n.keep) return;
   n.story = mixed(mixed(n.story, bytes), std::uint64_t(from));
   act(to, spared, [&, from = from, &bytes = bytes](rumour::Outbox& out) {
-    if (locus::among_cores(bytes)) n.keep->heard(n.now, machine(from), bytes, out);
-    else n.rumour->whole(n.keep->fresh(n.now)), n.rumour->heard(n.now, machine(from), bytes, out);
+    if (locus::among_cores(bytes))
+      n.keep->heard(n.now, machine(from), bytes, out);
+    else
+      n.rumour->whole(n.keep->fresh(n.now)), n.rumour->heard(n.now, machine(from), bytes, out);
   });
 }
 
@@ -716,7 +821,8 @@
   n.story = mixed(n.story, std::uint64_t(n.now));
   act(i, -1, [&](rumour::Outbox& out) { n.keep->tick(n.now, out), n.rumour->tick(n.now, out); });
   for (const Live& l : live_)
-    if (l.core == i && l.status < 0 && nodes_[i].keep && n.now - l.began >= patience) fail("an order is left without an answer past its time");
+    if (l.core == i && l.status < 0 && nodes_[i].keep && n.now - l.began >= patience)
+      fail("an order is left without an answer past its time");
   if (n.keep && n.leaving && n.keep->may_go()) {
     // It ends, and where its seat is another's its disk goes with it.
     const bool seated = truth_.voters.seat(n.keep->store());
@@ -729,14 +835,17 @@
   Node& n = nodes_[i];
   const std::size_t id = live_.size();
   live_.push_back({&c, i, -1, truth_.top(), n.now, {}});
-  if (c.order.is == What::size) truth_.strikes += 4, truth_.fewest = std::min<std::size_t>(truth_.fewest, std::stoul(c.order.text));  // from three to seven
+  if (c.order.is == What::size)
+    truth_.strikes += 4, truth_.fewest = std::min<std::size_t>(
+                             truth_.fewest, std::stoul(c.order.text));  // from three to seven
   n.story = mixed(mixed(n.story, c.order.text), std::uint64_t(c.order.is));
   act(i, -1, [&](rumour::Outbox& out) {
     const auto done = [this, id, life = n.life](locus::Outcome o) {
       Live& l = live_[id];
       const Node& at = nodes_[l.core];
       if (l.status >= 0 || at.life != life || !at.store || at.store->died) return;
-      if (o.status != 503 && at.now - l.began >= patience) fail("answered " + std::to_string(o.status) + " past its time");
+      if (o.status != 503 && at.now - l.began >= patience)
+        fail("answered " + std::to_string(o.status) + " past its time");
       l.status = o.status, l.body = std::move(o.body), l.until = truth_.top();
       answered_.push_back(id);
     };
@@ -754,7 +863,8 @@
   const auto gather = [&] {
     for (const auto& [l, copies] : std::exchange(net_, {}))
       for (int k = 0; k < copies; ++k)
-        if (loss == 0 || double(chance()) / 4294967296.0 >= loss) coming.emplace(clock_ + 200 + std::int64_t(chance() % std::uint64_t(way)), l);
+        if (loss == 0 || double(chance()) / 4294967296.0 >= loss)
+          coming.emplace(clock_ + 200 + std::int64_t(chance() % std::uint64_t(way)), l);
   };
   std::vector<std::int64_t> next(nodes_.size());
   int woken = 0;  // at once, one time after the other
@@ -779,8 +889,10 @@
       const Letter l = std::move(coming.begin()->second);
       coming.erase(coming.begin());
       const auto& [from, to, bytes] = l;
-      if (nodes_[to].frozen) lying.push_back(l);
-      else if (nodes_[to].keep && (from == to || !(nodes_[from].cut || nodes_[to].cut))) deliver(l, -1);
+      if (nodes_[to].frozen)
+        lying.push_back(l);
+      else if (nodes_[to].keep && (from == to || !(nodes_[from].cut || nodes_[to].cut)))
+        deliver(l, -1);
     } else if (who < nodes_.size()) {
       next[who] = clock_ + 100'000;
       tick(int(who));
@@ -796,9 +908,12 @@
 
 // ---- what is held against the truth ----
 
-// What leaves a core. A value is chosen once a majority has accepted it under one ballot, whoever knows of that.
+// What leaves a core. A value is chosen once a majority has accepted it under one ballot, whoever knows of
+// that.
 inline void World::overhear(int from, const std::string& bytes) {
-  const auto key = [](const std::string& name, const consensus::Ballot& b) { return name + "/" + std::to_string(b.round) + "/" + b.proposer; };
+  const auto key = [](const std::string& name, const consensus::Ballot& b) {
+    return name + "/" + std::to_string(b.round) + "/" + b.proposer;
+  };
   if (bytes[0] == char(locus::kind::ask)) {
     const auto a = locus::read_whole<locus::Asking>(bytes);
     if (!a || a->ask.what != consensus::phase::accept) return;
@@ -821,14 +936,18 @@
     const auto news = rumour::read<rumour::News>(bytes);
     for (const Item& i : news ? news->items : std::vector<Item>()) {
       const auto it = truth_.states.find(i.at);
-      const bool known = it != truth_.states.end() && it->second->items.contains(i.name) && it->second->items.at(i.name) == i;
+      const bool known = it != truth_.states.end() && it->second->items.contains(i.name) &&
+                         it->second->items.at(i.name) == i;
       if (!known && i.at <= truth_.top() && i.at > 0 && it == truth_.states.end()) continue;
-      if (!known && !(nodes_[from].keep && nodes_[from].keep->number() >= i.at && i.at > truth_.top())) fail("handed to nodes, and not settled: " + i.name);
+      if (!known && !(nodes_[from].keep && nodes_[from].keep->number() >= i.at && i.at > truth_.top()))
+        fail("handed to nodes, and not settled: " + i.name);
     }
   } else if (rumour::kind_of(bytes) == rumour::kind::digest) {
     const auto told = rumour::read<rumour::Told>(bytes);
     const Node& n = nodes_[from];
-    if (told && told->whole && n.keep && n.keep->number() < n.least) fail("core " + std::to_string(from) + " hands out as whole what is older than " + std::to_string(in_contact / 1000) + " ms");
+    if (told && told->whole && n.keep && n.keep->number() < n.least)
+      fail("core " + std::to_string(from) + " hands out as whole what is older than " +
+           std::to_string(in_contact / 1000) + " ms");
   }
 }
 
@@ -843,15 +962,19 @@
     n.looked = n.creed->changes();
     for (const auto& [name, item] : n.creed->items()) {
       const auto it = truth_.states.find(item.at);
-      if (it == truth_.states.end()) fail(who + " holds what was never settled: " + name);
-      else if (const auto was = it->second->items.find(name); was != it->second->items.end() && was->second != item) fail(who + " holds another wording than was settled: " + name);
+      if (it == truth_.states.end())
+        fail(who + " holds what was never settled: " + name);
+      else if (const auto was = it->second->items.find(name);
+               was != it->second->items.end() && was->second != item)
+        fail(who + " holds another wording than was settled: " + name);
     }
   }
   const auto& v = n.keep->voters();
   if (v.version < n.epoch) fail(who + " went back to earlier voters");
   if (v.version > n.epoch) {
     n.epoch = v.version;
-    if (truth_.lists.emplace(v.version, v.text()).first->second != v.text()) fail("two lists of who is core under one epoch");
+    if (truth_.lists.emplace(v.version, v.text()).first->second != v.text())
+      fail("two lists of who is core under one epoch");
     if (v.version > truth_.voters.version) {
       std::set<std::string> addresses, before;
       for (const auto& s : v.next.empty() ? v.now : v.next)
@@ -862,14 +985,16 @@
       truth_.voters = v;
     }
   }
-  if (n.keep->fresh(n.now) && n.number < n.least) fail(who + " says that it is fresh, and is older than " + std::to_string(in_contact / 1000) + " ms");
+  if (n.keep->fresh(n.now) && n.number < n.least)
+    fail(who + " says that it is fresh, and is older than " + std::to_string(in_contact / 1000) + " ms");
 }
 
 // A core holds the state of a number for the first time in its life.
 inline void World::settled(Node& n) {
   const std::string at = std::to_string(n.number);
   if (const auto it = truth_.states.find(n.number); it != truth_.states.end()) {
-    if (it->second->items != n.creed->items() || it->second->floor != n.creed->floor()) fail("two states under one number, " + at + differs(*it->second, *n.creed));
+    if (it->second->items != n.creed->items() || it->second->floor != n.creed->floor())
+      fail("two states under one number, " + at + differs(*it->second, *n.creed));
     return;
   }
   const State none;
@@ -878,8 +1003,10 @@
   auto s = std::make_shared<State>(State{n.creed->items(), n.creed->floor(), creed::written_out(*n.creed)});
   for (const auto& [name, was] : before.items)
     if (const auto it = s->items.find(name); it == s->items.end()) {
-      if (!was.dropped || was.at > s->floor) fail(name + " is gone in number " + at);
-      else truth_.let_go[name] = was.version;
+      if (!was.dropped || was.at > s->floor)
+        fail(name + " is gone in number " + at);
+      else
+        truth_.let_go[name] = was.version;
     } else if (it->second != was && (it->second.at != n.number || it->second.version <= was.version)) {
       fail(name + " went back in number " + at);
     }
@@ -887,7 +1014,8 @@
     if (i.at == n.number) {
       bool whole = name.starts_with("k/");
       for (const Live& l : live_)
-        whole = whole || ((l.status < 400 || l.status >= 500) && l.call->brings(i) && (l.call->order.is != What::adjust || in_force(*s, *l.call, truth_.let_go)));
+        whole = whole || ((l.status < 400 || l.status >= 500) && l.call->brings(i) &&
+                          (l.call->order.is != What::adjust || in_force(*s, *l.call, truth_.let_go)));
       if (!whole) fail("in force, and no call that may be has brought it whole: " + name);
     } else if (i.at > n.number) {
       fail(name + " is from a later number");
@@ -899,21 +1027,36 @@
   const Call& c = *l.call;
   const std::string told = " at core " + std::to_string(l.core);
   if (l.status == 200 && c.order.is == What::read) {
-    if (!explained(l, [&](const State& s) { return s.text == l.body; })) fail("read" + told + " is none of what stood since it began, number " + std::to_string(l.before));
+    if (!explained(l, [&](const State& s) { return s.text == l.body; }))
+      fail("read" + told + " is none of what stood since it began, number " + std::to_string(l.before));
   } else if (l.status == 200) {
     // Begun and finished in one change: the one of the two that is not to be seen came first.
     const auto turned = [&](const Live& o) {
-      return o.call->order.is != c.order.is && o.call->order.is != What::adjust && o.call->order.is != What::read && (o.status < 0 || (o.status == 200 && o.until >= l.before));
+      return o.call->order.is != c.order.is && o.call->order.is != What::adjust &&
+             o.call->order.is != What::read && (o.status < 0 || (o.status == 200 && o.until >= l.before));
     };
     const bool unseen = c.order.is != What::adjust && std::any_of(live_.begin(), live_.end(), turned);
-    if (c.invalid || !(unseen || explained(l, [&](const State& s) { return in_force(s, c, truth_.let_go); }))) fail("confirmed" + told + " and not in force: " + c.order.text);
+    if (c.invalid || !(unseen || explained(l, [&](const State& s) { return in_force(s, c, truth_.let_go); })))
+      fail("confirmed" + told + " and not in force: " + c.order.text);
   } else if (l.status >= 400 && l.status < 500) {
-    const auto against = [&](const Live& o) { return o.status == 200 && o.call != &c && (o.call->clashes(c) || std::any_of(o.call->items.begin(), o.call->items.end(), [&](const Item& i) { return i.dropped && std::any_of(c.needs.begin(), c.needs.end(), [&](const auto& x) { return x.second == i.name; }); })); };
-    const bool right = explained(l, [&](const State& s) { return verdict(s, c) == l.status; }) || std::any_of(live_.begin(), live_.end(), against);
-    if (!right) fail("refused with " + std::to_string(l.status) + told + ", and nothing that stood since it began says so: " + c.order.text);
+    const auto against = [&](const Live& o) {
+      return o.status == 200 && o.call != &c &&
+             (o.call->clashes(c) ||
+              std::any_of(o.call->items.begin(), o.call->items.end(), [&](const Item& i) {
+                return i.dropped && std::any_of(c.needs.begin(), c.needs.end(),
+                                                [&](const auto& x) { return x.second == i.name; });
+              }));
+    };
+    const bool right = explained(l, [&](const State& s) { return verdict(s, c) == l.status; }) ||
+                       std::any_of(live_.begin(), live_.end(), against);
+    if (!right)
+      fail("refused with " + std::to_string(l.status) + told +
+           ", and nothing that stood since it began says so: " + c.order.text);
     for (const auto& [n, s] : truth_.states)
       for (const Item& i : c.items)
-        if (const auto it = s->items.find(i.name); n > l.before && it != s->items.end() && it->second.at == n && creed::same_wording(it->second, i) && !brought(i))
+        if (const auto it = s->items.find(i.name); n > l.before && it != s->items.end() &&
+                                                   it->second.at == n && creed::same_wording(it->second, i) &&
+                                                   !brought(i))
           fail("refused" + told + ", and in force: " + i.name);
   } else if (l.status != 503) {
     fail("told " + std::to_string(l.status) + told);
@@ -945,7 +1088,9 @@
 
 inline bool World::agree() const {
   for (const Node& n : nodes_)
-    if (n.keep && (n.keep->number() != truth_.top() || (n.number > 0 && n.creed->items() != truth_.states.at(n.number)->items))) return false;
+    if (n.keep && (n.keep->number() != truth_.top() ||
+                   (n.number > 0 && n.creed->items() != truth_.states.at(n.number)->items)))
+      return false;
   return true;
 }
 
@@ -961,13 +1106,15 @@
   }
   const auto all_read = [&](const char* when) {
     for (int i = 0; i < int(nodes_.size()); ++i)
-      if (nodes_[i].keep && !taken(read, i, 4 * second, seed + std::uint32_t(i)) && nodes_[i].keep) fail(std::string(when) + " and core " + std::to_string(i) + " can't be read");
+      if (nodes_[i].keep && !taken(read, i, 4 * second, seed + std::uint32_t(i)) && nodes_[i].keep)
+        fail(std::string(when) + " and core " + std::to_string(i) + " can't be read");
   };
   if (late >= 0 && nodes_[late].there) {
     all_read("all but one are up");
     start(late, false);
   }
-  if (!until(4 * second, seed, [&] { return agree(); })) fail("all are up and the copies differ");  // before a read brings them together
+  if (!until(4 * second, seed, [&] { return agree(); }))
+    fail("all are up and the copies differ");  // before a read brings them together
   all_read("all are up");
 }
 
@@ -975,9 +1122,12 @@
   static const Call read = reading();
   // Fewer machines than seats, or than were asked for: none can be given anew.
   std::size_t seats = std::max(truth_.voters.now.size(), truth_.voters.next.size());
-  if (const State& s = *truth_.states.rbegin()->second; s.items.contains(std::string(locus::size_name))) seats = std::max<std::size_t>(seats, std::stoul(s.items.at(std::string(locus::size_name)).text));
-  if (std::size_t(std::count_if(nodes_.begin(), nodes_.end(), [](const Node& n) { return n.there; })) < seats) return;
-  if (!until(15 * second, seed, [&] { return truth_.agreed() && agree(); })) return fail("a lost seat is not given anew");
+  if (const State& s = *truth_.states.rbegin()->second; s.items.contains(std::string(locus::size_name)))
+    seats = std::max<std::size_t>(seats, std::stoul(s.items.at(std::string(locus::size_name)).text));
+  if (std::size_t(std::count_if(nodes_.begin(), nodes_.end(), [](const Node& n) { return n.there; })) < seats)
+    return;
+  if (!until(15 * second, seed, [&] { return truth_.agreed() && agree(); }))
+    return fail("a lost seat is not given anew");
   run(second, seed, 0);
   if (!broken.empty()) return;
   int who = int(seed % nodes_.size());
@@ -987,20 +1137,25 @@
   ++truth_.strikes, kill(who);
   for (int i = 0; i < int(nodes_.size()) && broken.empty(); ++i) {
     if (!nodes_[i].keep) continue;
-    if (!taken(read, i, 3 * second, seed)) return fail("after a further loss core " + std::to_string(i) + " can't be read");
+    if (!taken(read, i, 3 * second, seed))
+      return fail("after a further loss core " + std::to_string(i) + " can't be read");
     own_.push_back(change(first_call(creed::version_text(1'000'000 + truth_.top()), 1)));
-    if (!taken(own_.back(), i, 3 * second, seed)) return fail("after a further loss core " + std::to_string(i) + " takes no order");
+    if (!taken(own_.back(), i, 3 * second, seed))
+      return fail("after a further loss core " + std::to_string(i) + " takes no order");
   }
 }
 
 inline void World::at_once(int orders, std::uint32_t seed, std::int64_t way) {
   std::mt19937 chance(seed);
   heals_ = true;
-  for (int k = 0; k < orders; ++k) own_.push_back(route(100 + int(chance() % 3), chance() % 2 ? "one" : "two", "r" + std::to_string(chance() % 5)));
+  for (int k = 0; k < orders; ++k)
+    own_.push_back(
+        route(100 + int(chance() % 3), chance() % 2 ? "one" : "two", "r" + std::to_string(chance() % 5)));
   for (const Call& c : own_) call(c, int(chance() % std::uint32_t(plot_.voters + plot_.standbys)));
   run(patience, seed, 0, way);
   for (const Live& l : live_)
-    if (l.status != 200 && l.status != 409) fail("of " + std::to_string(orders) + " orders at once one ends with " + std::to_string(l.status));
+    if (l.status != 200 && l.status != 409)
+      fail("of " + std::to_string(orders) + " orders at once one ends with " + std::to_string(l.status));
 }
 
 }  // namespace robinpin::mesh_test::explored
--- a/tests/mischief/mischief.cpp
+++ b/tests/mischief/mischief.cpp
@@ -1,5 +1,5 @@
-// Loaded into a daemon of the rehearsal kit alone: its clocks run fast, slow or jump, its disk is full or does not sync, as the
-// kit says in a file that both share.
+// Loaded into a daemon of the rehearsal kit alone: its clocks run fast, slow or jump, its disk is full or
+// does not sync, as the kit says in a file that both share.
 #include "../../src/rehearse/mischief.h"
 
 #include <dlfcn.h>
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -195,7 +195,8 @@
       {request("1", "add", "Content-Length: 0\r\n"), "400"},
       {request("1", "add", "Transfer-Encoding: chunked\r\n") + "0\r\n\r\n", "400"},
       {request("1", "view", "X: \x01\r\n"), "400"},
-      {"GET /api HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Class: view\r\nTenant: choir\r\nRequest-Timeout-Ms: 9\r\n"
+      {"GET /api HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Class: view\r\nTenant: choir\r\nRequest-Timeout-Ms: "
+       "9\r\n"
        "Content-Length: 5\r\n\r\nGET /",
        "400"},
       {"POST /api HTTP/1.1\r\nContent-Length: -5\r\n\r\n", "400"},
@@ -209,7 +210,8 @@
 TEST_CASE("what a client says of its txn's work is heard, and passed over where it can't be read") {
   const read::House h = house();
   CHECK(asked_of(*message(request("1", "view", "Work-Hint: 477694\r\n")), h).cost == 477694);
-  const auto again = asked_of(*message(request("1", "view", "Client-Retry: 1\r\nRequest-Info: a=1,key=k7,b=2\r\n")), h);
+  const auto again =
+      asked_of(*message(request("1", "view", "Client-Retry: 1\r\nRequest-Info: a=1,key=k7,b=2\r\n")), h);
   CHECK((again.said.repeat && again.said.key == hashed("k7")));
   const Asked none = asked_of(*message(request("1", "view", "Work-Hint: much\r\n")), h);
   CHECK((none.status == 0 && none.cost == 0));
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -51,7 +51,8 @@
 
 }  // namespace
 
-TEST_CASE("facts are read back as they were, across starts of a node that was killed in the middle of a line") {
+TEST_CASE(
+    "facts are read back as they were, across starts of a node that was killed in the middle of a line") {
   const Folder folder;
   {
     auto f = facts(keeping(folder.file()));
@@ -72,7 +73,8 @@
   CHECK(back.broken == 1);
   REQUIRE(back.facts.size() == 8);
   CHECK((back.facts[0].fact == "records" && back.facts[0].start == 1));
-  CHECK((back.facts[2].scheme == "pay" && back.facts[2].tenant == "choir" && back.facts[2].route == "deposits"));
+  CHECK((back.facts[2].scheme == "pay" && back.facts[2].tenant == "choir" &&
+         back.facts[2].route == "deposits"));
   CHECK((back.facts[2].time == 300 * ms && back.facts[2].steady == 5 && back.facts[2].wall > 0));
   CHECK(back.facts[4].server == "box \"a\"\n");
   CHECK((back.facts[5].how == "settled" && back.facts[5].posting == 0));
@@ -80,8 +82,10 @@
 }
 
 TEST_CASE("a line of another schema is none of ours") {
-  CHECK(records::read_fact(R"({"fact":"records","node":"n","start":1,"n":0,"steady":1,"wall":1,"schema":1})"));
-  CHECK_FALSE(records::read_fact(R"({"fact":"records","node":"n","start":1,"n":0,"steady":1,"wall":1,"schema":2})"));
+  CHECK(
+      records::read_fact(R"({"fact":"records","node":"n","start":1,"n":0,"steady":1,"wall":1,"schema":1})"));
+  CHECK_FALSE(
+      records::read_fact(R"({"fact":"records","node":"n","start":1,"n":0,"steady":1,"wall":1,"schema":2})"));
   CHECK_FALSE(records::read_fact(R"({"fact":"records","node":"n","start":"1","n":0,"steady":1,"wall":1})"));
   CHECK_FALSE(records::read_fact("7"));
 }
@@ -149,15 +153,17 @@
 }
 
 // A pipe that nobody reads hangs whoever opens it.
-TEST_CASE("a disk that hangs holds up nobody: what finds no room is dropped, and the end does not wait for it") {
+TEST_CASE(
+    "a disk that hangs holds up nobody: what finds no room is dropped, and the end does not wait for it") {
   const Folder folder;
   REQUIRE(::mkfifo(folder.file().c_str(), 0600) == 0);
   auto k = keeping(folder.file());
   k.queue = 50;
   const auto begun = std::chrono::steady_clock::now();
   {
-    records::Writer w(k, [](int) { return std::string("{}\n"); }, [](std::uint64_t) { return std::string(); },
-                      [](const std::string&) {});
+    records::Writer w(
+        k, [](int) { return std::string("{}\n"); }, [](std::uint64_t) { return std::string(); },
+        [](const std::string&) {});
     int dropped = 0;
     for (int i = 0; i < 1000; ++i) dropped += w.put("line\n") ? 0 : 1;
     CHECK(dropped >= 850);  // one batch may have been taken out before the thread hung
@@ -188,7 +194,8 @@
   CHECK(folding.take(t + 13s, 0, 1, "y", due));
 }
 
-TEST_CASE("a peer's failure is told once with its cause, again when the cause changes, and once when it is over") {
+TEST_CASE(
+    "a peer's failure is told once with its cause, again when the cause changes, and once when it is over") {
   log::Trouble t;
   const log::Trouble::clock::time_point noon_{};
   CHECK_FALSE(t.mended());
@@ -207,7 +214,10 @@
   REQUIRE(::pipe(pipe_ends) == 0);
   const int kept = ::dup(STDERR_FILENO);
   ::dup2(pipe_ends[1], STDERR_FILENO);
-  log::open({true, {log::level::info, log::level::info, log::level::off, log::level::info, log::level::info, log::level::info}, 10s});
+  log::open({true,
+             {log::level::info, log::level::info, log::level::off, log::level::info, log::level::info,
+              log::level::info},
+             10s});
   const auto begun = std::chrono::steady_clock::now();
   for (int i = 0; i < 3000; ++i) log::info(log::part::node, "line {} {}", i, std::string(100, 'x'));
   log::error(log::part::servers, "this part is off");
@@ -223,6 +233,7 @@
   log::open({});
   CHECK(quick);
   CHECK(dropped > 0);
-  CHECK_THAT(heard, Contains(R"("level":"info","part":"node","text":"line 0 x)") && !Contains("this part is off"));
+  CHECK_THAT(heard,
+             Contains(R"("level":"info","part":"node","text":"line 0 x)") && !Contains("this part is off"));
   CHECK_THAT(rest, Contains("lines of the log were dropped") && Contains(R"(said \"again\"\u000a)"));
 }
--- a/tests/rehearse_test.cpp
+++ b/tests/rehearse_test.cpp
@@ -1,8 +1,8 @@
 // The kit: plans and their faults, daemons that misbehave, and short rehearsals against real nodes.
-#include <catch2/catch.hpp>
 #include <signal.h>
 #include <unistd.h>
 
+#include <catch2/catch.hpp>
 #include <filesystem>
 #include <fstream>
 #include <thread>
@@ -19,7 +19,8 @@
 namespace {
 
 struct Folder {
-  std::filesystem::path path = std::filesystem::temp_directory_path() / ("robinpin-kit-" + std::to_string(::getpid()));
+  std::filesystem::path path =
+      std::filesystem::temp_directory_path() / ("robinpin-kit-" + std::to_string(::getpid()));
   Folder() { std::filesystem::create_directories(path); }
   ~Folder() { std::filesystem::remove_all(path); }
 };
@@ -82,7 +83,8 @@
   setup.daemon = ROBINPIN_BINARY;
   setup.out = f.path;
   setup.by = by;
-  return play(r.plan, setup, [](const Progress&) {}, [] { return false; });
+  return play(
+      r.plan, setup, [](const Progress&) {}, [] { return false; });
 }
 
 std::string told(const Outcome& o) {
@@ -95,21 +97,27 @@
 }  // namespace
 
 TEST_CASE("every fault of a plan is told with its place") {
-  const auto r = read_plan("p.toml",
-                           "length = \"4s\"\nwarm_up = \"9s\"\n[lod]\nrate = 5\n[[hall]]\nname = \"ruwi\"\n[[tier]]\nname = \"t\"\n"
-                           "[[tier.box]]\nname = \"f\"\ncores = 0\n[[scheme]]\nname = \"x\"\nrepeats = \"referenced\"\n"
-                           "[[fault]]\nwhat = \"taken\"\nat = \"1s\"\nsize = 3\n[[fault]]\nwhat = \"flood\"\nat = \"1s\"\n"
-                           "[[fault]]\nwhat = \"slow\"\nat = \"7s\"\nboxes = [\"g-1\"]\n[expect]\nservice = 120\n[expect.hall]\nmars = 50\n");
+  const auto r = read_plan(
+      "p.toml",
+      "length = \"4s\"\nwarm_up = \"9s\"\n[lod]\nrate = 5\n[[hall]]\nname = \"ruwi\"\n[[tier]]\nname = "
+      "\"t\"\n"
+      "[[tier.box]]\nname = \"f\"\ncores = 0\n[[scheme]]\nname = \"x\"\nrepeats = \"referenced\"\n"
+      "[[fault]]\nwhat = \"taken\"\nat = \"1s\"\nsize = 3\n[[fault]]\nwhat = \"flood\"\nat = \"1s\"\n"
+      "[[fault]]\nwhat = \"slow\"\nat = \"7s\"\nboxes = [\"g-1\"]\n[expect]\nservice = "
+      "120\n[expect.hall]\nmars = 50\n");
   const std::string faults = config::text("p.toml", r.faults);
   for (const char* what :
-       {"p.toml:3:2: lod: no such key; did you mean \"load\"?", "leaves nothing of the length", "tier.box.cores: is zero",
-        "scheme.memory: is missing", "is a share, from above 0 to 1", "\"flood\" is none of", "after the plan's end",
-        "\"g-1\" is not in the plan; there are f-1", "expect.service: 120 is over the most", "\"mars\" is not in the plan"})
+       {"p.toml:3:2: lod: no such key; did you mean \"load\"?", "leaves nothing of the length",
+        "tier.box.cores: is zero", "scheme.memory: is missing", "is a share, from above 0 to 1",
+        "\"flood\" is none of", "after the plan's end", "\"g-1\" is not in the plan; there are f-1",
+        "expect.service: 120 is over the most", "\"mars\" is not in the plan"})
     CHECK_THAT(faults, Contains(what));
 }
 
 TEST_CASE("a key can be set over the file's, in tables, lists by name and by number") {
-  const auto r = read_plan("p.toml", small, {"load.rate=500", "tier.back.box.b.cores=9", "hall.1.share=3", "nodes.count=\"many\""});
+  const auto r =
+      read_plan("p.toml", small,
+                {"load.rate=500", "tier.back.box.b.cores=9", "hall.1.share=3", "nodes.count=\"many\""});
   CHECK(r.plan.mix.rate == 500);
   CHECK(r.plan.tiers.at(1).kinds.at(0).make.cores == 9);
   CHECK(r.plan.halls.at(1).share == 3);
@@ -118,7 +126,8 @@
   CHECK_THAT(config::text("p", read_plan("p", small, {"load"}).faults), Contains("no key=value"));
 }
 
-TEST_CASE("a daemon that floods its log neither waits nor fills the disk, one that ignores SIGTERM is ended") {
+TEST_CASE(
+    "a daemon that floods its log neither waits nor fills the disk, one that ignores SIGTERM is ended") {
   const Folder f;
   asio::io_context io;
   Daemon d(io);
@@ -127,7 +136,8 @@
   how.log = f.path / "log";
   d.start(how);
   const auto begun = std::chrono::steady_clock::now();
-  while (d.log_dropped() < 20'000'000 - (16 << 20) && std::chrono::steady_clock::now() - begun < 10s) io.run_for(5ms);
+  while (d.log_dropped() < 20'000'000 - (16 << 20) && std::chrono::steady_clock::now() - begun < 10s)
+    io.run_for(5ms);
   CHECK(d.log_dropped() >= 20'000'000 - (16 << 20));
   CHECK(std::filesystem::file_size(how.log) <= 16 << 20);
   d.tell(SIGTERM);
@@ -205,14 +215,17 @@
 }
 
 TEST_CASE("a client's retry that crosses the answer on its way is a try of its own, and no rule breaks") {
-  std::string text = small + "[[fault]]\nwhat = \"hanging\"\nat = \"1s\"\nfor = \"1500ms\"\n[clients]\nwait = \"0ms\"\ntry_share = 0.4\n[net]\nclient = \"0ms\"\n";
+  std::string text = small +
+                     "[[fault]]\nwhat = \"hanging\"\nat = \"1s\"\nfor = \"1500ms\"\n[clients]\nwait = "
+                     "\"0ms\"\ntry_share = 0.4\n[net]\nclient = \"0ms\"\n";
   text.replace(text.find("share = 2\nwork"), 9, "share = 2\nsla = \"300ms\"\nexpiry = \"800ms\"");
   const Outcome o = played(text);
   INFO(told(o));
   int crossed = 0;
   for (const Try& t : o.history.tries)
     for (const Try& next : o.history.tries)
-      if (t.tier == 0 && next.tier == 0 && t.txn == next.txn && next.id > t.id && t.answered > next.sent) ++crossed;
+      if (t.tier == 0 && next.tier == 0 && t.txn == next.txn && next.id > t.id && t.answered > next.sent)
+        ++crossed;
   CHECK(crossed > 0);
   CHECK(o.verdict.rules_kept());
 }
@@ -224,7 +237,8 @@
     std::string lines;
     for (int i = 0; i < 40; ++i)
       lines += "{\"fact\":\"taken\",\"node\":\"n\",\"start\":1,\"n\":1,\"steady\":1,\"wall\":" +
-               std::to_string(1'000'000 + i * 50'000) + ",\"scheme\":\"" + (i % 4 == 0 ? "other" : "view") + "\"}\n";
+               std::to_string(1'000'000 + i * 50'000) + ",\"scheme\":\"" + (i % 4 == 0 ? "other" : "view") +
+               "\"}\n";
     return lines;
   }();
   std::string text = small;
@@ -246,8 +260,10 @@
   }
 }
 
-TEST_CASE("expectations that are not met are named, a kit that ran late voids the run, and the report reads back") {
-  PlanRead r = read_plan("p.toml", small + "[expect]\nservice = 90\nwaste = 1\ntipped = 0\n[expect.hall]\nseeb = 50\n");
+TEST_CASE(
+    "expectations that are not met are named, a kit that ran late voids the run, and the report reads back") {
+  PlanRead r = read_plan("p.toml",
+                         small + "[expect]\nservice = 90\nwaste = 1\ntipped = 0\n[expect.hall]\nseeb = 50\n");
   REQUIRE(r.good());
   Outcome o;
   o.grounds.halls = {"ruwi", "seeb"};
--- a/tests/routes_test.cpp
+++ b/tests/routes_test.cpp
@@ -20,10 +20,12 @@
 
 }  // namespace
 
-TEST_CASE("1,000 txns out at a reload end under the limits that they were taken under, and the next meet the new") {
+TEST_CASE(
+    "1,000 txns out at a reload end under the limits that they were taken under, and the next meet the new") {
   Parts p;
   p.knows("a", here);
-  REQUIRE(p.routes.renew(file("[defaults]\nin_flight = 1000\nposting_timeout = \"400ms\"\npostings = 2\n", p.house)));
+  REQUIRE(p.routes.renew(
+      file("[defaults]\nin_flight = 1000\nposting_timeout = \"400ms\"\npostings = 2\n", p.house)));
   std::vector<Desk::visit> out;
   for (int i = 0; i < 1000; ++i) {
     auto route = p.routes.take({0, 0, "GET", "/api"}, p.clock.now());
@@ -66,7 +68,8 @@
   CHECK(route.allowed.postings == (broken ? 2 : 1));
 }
 
-TEST_CASE("a faulty file is told once, however often it is read, and what is in force is told with its hash") {
+TEST_CASE(
+    "a faulty file is told once, however often it is read, and what is in force is told with its hash") {
   Parts p;
   CHECK_THAT(p.routes.told(), Contains("\"version\":0") && !Contains("file"));
   const auto good = file("[defaults]\npostings = 2\n", p.house);
@@ -75,13 +78,14 @@
   CHECK_FALSE(p.routes.renew(bad));
   CHECK_FALSE(p.routes.renew(bad));
   CHECK(p.counters.config_refused == 2);
-  CHECK_THAT(p.routes.told(), Contains("\"version\":1") && Contains(good.file.hash) && Contains("postings: is zero") &&
-                                  Contains(bad.file.hash));
+  CHECK_THAT(p.routes.told(), Contains("\"version\":1") && Contains(good.file.hash) &&
+                                  Contains("postings: is zero") && Contains(bad.file.hash));
   REQUIRE(p.routes.renew(good));
   CHECK_THAT(p.routes.told(), Contains("\"version\":2") && !Contains("refused"));
 }
 
-TEST_CASE("a client over its route's pace hears so at once, with its turn, and the page tells what is in force") {
+TEST_CASE(
+    "a client over its route's pace hears so at once, with its turn, and the page tells what is in force") {
   read::House h = net::house();
   h.terms.advice_heeded = true;
   h.terms.longest_advice = 2000 * ms;
@@ -95,7 +99,8 @@
   CHECK_THAT(second, Contains("503") && Contains("Retry-After: 0.") && Contains("declined"));
   CHECK(s.got.size() == 1);
   CHECK(p.counters.limited_by_rate == 1);
-  CHECK_THAT(p.ask("GET /config HTTP/1.1\r\nHost: b\r\n\r\n"), Contains("application/json") && Contains("\"slow\""));
+  CHECK_THAT(p.ask("GET /config HTTP/1.1\r\nHost: b\r\n\r\n"),
+             Contains("application/json") && Contains("\"slow\""));
 }
 
 TEST_CASE("a posting is given up after its route's time-out, and a repeatable txn gets the next in time") {
@@ -103,9 +108,10 @@
   StandIn silent(p.io, ""), good(p.io, fine);
   p.listens();
   p.knows("a", silent.at());
-  REQUIRE(p.routes.renew(
-      file("[[route]]\nname = \"r\"\nscheme = \"view\"\npostings = 2\nposting_timeout = \"60ms\"\nsecond_copies = false\n",
-           p.house)));
+  REQUIRE(
+      p.routes.renew(file("[[route]]\nname = \"r\"\nscheme = \"view\"\npostings = 2\nposting_timeout = "
+                          "\"60ms\"\nsecond_copies = false\n",
+                          p.house)));
   const std::string one = p.ask(request("1"), 200ms);
   CHECK_THAT(one, Contains("503"));  // both postings to the only server that it knows
   CHECK(silent.got.size() == 2);
--- a/tests/size_test.cpp
+++ b/tests/size_test.cpp
@@ -36,9 +36,12 @@
   CHECK(b.txn_taken(noon, "t", 0, -1, 1200 * ms, 0).wake_in == 500 * ms);
 }
 
-// Busy nodes of a fleet, a few of whom carry much of it, declined a fifth at calm answers: their calls in flight stray by more
-// than the room in all allows, and what it declines makes the pace, and so the room, smaller still.
-TEST_CASE("a node of many answers is limited by how slow they are, not by its calls in flight, one of few by these") {
+// Busy nodes of a fleet, a few of whom carry much of it, declined a fifth at calm answers: their calls in
+// flight stray by more than the room in all allows, and what it declines makes the pace, and so the room,
+// smaller still.
+TEST_CASE(
+    "a node of many answers is limited by how slow they are, not by its calls in flight, one of few by "
+    "these") {
   const int answers = GENERATE(5, 200);
   Terms t = terms();
   t.sizes_told = true;
@@ -239,7 +242,9 @@
   CHECK(b.admitted(1) > 0.9);
 }
 
-TEST_CASE("a large server's room is what a calm pace holds there, not that and a least besides, where sizes are told") {
+TEST_CASE(
+    "a large server's room is what a calm pace holds there, not that and a least besides, where sizes are "
+    "told") {
   Terms t = terms();
   t.sizes_told = GENERATE(true, false);
   t.nodes = 17;
@@ -265,7 +270,8 @@
   b.txns["one"].key = 9;
   b.client_left(noon + 510 * ms, "one");
   const auto [key, known] = GENERATE(table<std::uint32_t, bool>({{9, true}, {8, false}}));
-  b.txn_taken(noon, "other", 0, -1, 690 * ms, 0);  // each try has that: what is left of the expiry at the second
+  b.txn_taken(noon, "other", 0, -1, 690 * ms,
+              0);  // each try has that: what is left of the expiry at the second
   b.servers["a"].out.clear();
   const Decisions d = b.txn_taken(noon + 510 * ms, "again", 0, -1, 690 * ms, 0, {}, {true, key});
   CHECK((d.sends.empty() && d.finals.size() == 1) == known);
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -1,17 +1,17 @@
 // A voter's store: what is in it after its process, and when it is not to be used.
-#include <catch2/catch.hpp>
+#include "../src/store/store.h"
+
 #include <sqlite3.h>
 #include <sys/resource.h>
 #include <sys/wait.h>
 #include <unistd.h>
 
+#include <catch2/catch.hpp>
 #include <csignal>
 #include <filesystem>
 #include <fstream>
 #include <future>
 
-#include "../src/store/store.h"
-
 using namespace robinpin::consensus;
 using namespace robinpin::store;
 using Catch::Matchers::Contains;
@@ -19,7 +19,8 @@
 namespace {
 
 struct Folder {
-  std::filesystem::path path = std::filesystem::temp_directory_path() / ("robinpin-store-" + std::to_string(::getpid()));
+  std::filesystem::path path =
+      std::filesystem::temp_directory_path() / ("robinpin-store-" + std::to_string(::getpid()));
   Folder() { std::filesystem::create_directories(path); }
   ~Folder() { std::filesystem::remove_all(path); }
   std::string store() const { return path / "a.store"; }
@@ -71,9 +72,12 @@
   CHECK(s.memory().seen.at("other") == 7);
 }
 
-TEST_CASE("a store that is in use, torn, foreign, newer, another fleet's or another voter's is refused with its reason") {
+TEST_CASE(
+    "a store that is in use, torn, foreign, newer, another fleet's or another voter's is refused with its "
+    "reason") {
   const Folder f;
-  const auto refusal = [&](const std::string& fleet = "muscat", const std::string& voter = "a") -> std::string {
+  const auto refusal = [&](const std::string& fleet = "muscat",
+                           const std::string& voter = "a") -> std::string {
     try {
       Store s(f.store(), fleet, voter);
     } catch (const refused& why) {
@@ -81,7 +85,8 @@
     }
     return "taken";
   };
-  // A lock is a process's own, and SQLite does not live through a fork: the other process is there before the store is open.
+  // A lock is a process's own, and SQLite does not live through a fork: the other process is there before the
+  // store is open.
   int go[2];
   REQUIRE(::pipe(go) == 0);
   const pid_t other = ::fork();
@@ -153,13 +158,15 @@
       ::setrlimit(RLIMIT_FSIZE, &small);
       const std::string text(60'000, 'x');
       bool failed = false;
-      for (std::uint64_t i = 2; i < 20 && !failed; ++i) failed = !put(s, change(s.memory(), "r" + std::to_string(i), text, i));
+      for (std::uint64_t i = 2; i < 20 && !failed; ++i)
+        failed = !put(s, change(s.memory(), "r" + std::to_string(i), text, i));
       const rlimit wide{RLIM_INFINITY, RLIM_INFINITY};
       ::setrlimit(RLIMIT_FSIZE, &wide);
       kept = kept && failed && !s.failure().empty() && !put(s, change(s.memory(), "late", "y", 50));
     }
     Store again(f.store(), "muscat", "a");
-    kept = kept && again.memory().slots.at("r").value.text == "first" && !again.memory().slots.contains("late");
+    kept =
+        kept && again.memory().slots.at("r").value.text == "first" && !again.memory().slots.contains("late");
     ::_exit(kept ? 0 : 1);
   }
   int status = 1;
--- a/tests/stream_test.cpp
+++ b/tests/stream_test.cpp
@@ -50,7 +50,8 @@
       std::string now;
       for (std::string bytes(100'000, 0);;) {
         asio::error_code error;
-        const auto n = co_await s.async_read_some(asio::buffer(bytes), asio::redirect_error(asio::use_awaitable, error));
+        const auto n =
+            co_await s.async_read_some(asio::buffer(bytes), asio::redirect_error(asio::use_awaitable, error));
         if ((closed_on = bool(error))) break;
         now.append(bytes, 0, n);
         if (after > 0 ? now.size() < after : unframed(now, HTTP_REQUEST) == "not whole") continue;
@@ -75,7 +76,8 @@
     Message m(HTTP_RESPONSE, wide);
     for (reading got = reading::unfinished; !end && (got == reading::unfinished || !m.keep_alive());) {
       std::string some(m.room().second, 0);
-      const auto n = co_await s.async_read_some(asio::buffer(some), asio::redirect_error(asio::use_awaitable, end));
+      const auto n =
+          co_await s.async_read_some(asio::buffer(some), asio::redirect_error(asio::use_awaitable, end));
       heard.append(some, 0, n);
       std::copy_n(some.data(), n, m.room().first);
       got = m.take(n);
@@ -118,9 +120,10 @@
 
 TEST_CASE("a long answer reaches the client whole in every form, also where it knows no chunks") {
   const std::string all = "HTTP/1.1 200 OK\r\nContent-Type: a/b\r\n";
-  const std::string answer = all + GENERATE(as<std::string>(), "Content-Length: 1500000\r\n\r\n" + long_body,
-                                            "Transfer-Encoding: chunked\r\n\r\n" + chunked(long_body, 9'999, "T: x\r\n"),
-                                            "Connection: close\r\n\r\n" + long_body);
+  const std::string answer =
+      all + GENERATE(as<std::string>(), "Content-Length: 1500000\r\n\r\n" + long_body,
+                     "Transfer-Encoding: chunked\r\n\r\n" + chunked(long_body, 9'999, "T: x\r\n"),
+                     "Connection: close\r\n\r\n" + long_body);
   const std::string version = GENERATE("HTTP/1.1", "HTTP/1.0");
   Streams p;
   StandIn s(p.io, answer, true);
@@ -133,9 +136,12 @@
   CHECK(p.counters.ended(0).settled == 1);
 }
 
-TEST_CASE("an answer that breaks off after its first bytes is failed so that the client can tell, and is not asked again") {
-  const std::string answer = "HTTP/1.1 200 OK\r\n" + GENERATE(as<std::string>(), "Content-Length: 1500000\r\n\r\n",
-                                                             "Transfer-Encoding: chunked\r\n\r\n100000\r\n");
+TEST_CASE(
+    "an answer that breaks off after its first bytes is failed so that the client can tell, and is not asked "
+    "again") {
+  const std::string answer =
+      "HTTP/1.1 200 OK\r\n" + GENERATE(as<std::string>(), "Content-Length: 1500000\r\n\r\n",
+                                       "Transfer-Encoding: chunked\r\n\r\n100000\r\n");
   Streams p;
   StandIn s(p.io, answer + long_body.substr(0, 900'000), true);
   p.knows("a", s.at());
@@ -146,7 +152,9 @@
 }
 
 // What is let go can't be sent again; but the last byte was not written, so that nothing ran.
-TEST_CASE("a server that turns away in the midst of a long body leaves the txn declined, and nothing goes elsewhere") {
+TEST_CASE(
+    "a server that turns away in the midst of a long body leaves the txn declined, and nothing goes "
+    "elsewhere") {
   Streams p;
   Taker early(p.io, "HTTP/1.1 503 X\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", 400'000);
   p.knows("a", early.acceptor.local_endpoint());
@@ -161,7 +169,8 @@
   p.knows("none", endpoint_of("127.0.0.1:1"));
   p.knows("a", s.acceptor.local_endpoint());
   for (int i = 0; i < 4; ++i)
-    CHECK(unframed(p.call(with(std::to_string(i), "add", "Content-Length: 1500000") + long_body).heard) == "ok");
+    CHECK(unframed(p.call(with(std::to_string(i), "add", "Content-Length: 1500000") + long_body).heard) ==
+          "ok");
 }
 
 TEST_CASE("a client that breaks off its long body takes its txn with it") {
@@ -169,7 +178,8 @@
   Taker s(p.io, "");
   p.knows("a", s.acceptor.local_endpoint());
   {
-    const tcp::socket client = p.opened(with("1", "add", "Content-Length: 1500000") + long_body.substr(0, 300'000));
+    const tcp::socket client =
+        p.opened(with("1", "add", "Content-Length: 1500000") + long_body.substr(0, 300'000));
     CHECK(p.comes([&] { return p.clients.pending() == 1 && p.sockets.open() == 2; }));
   }
   CHECK(p.comes([&] { return p.clients.pending() == 0 && s.closed_on && p.sockets.open() == 0; }));
@@ -210,7 +220,8 @@
 
 TEST_CASE("at one byte a read a body that is passed on takes the room of what it has not passed on") {
   Message m(HTTP_REQUEST, {16 * 1024, 1 << 20});
-  const std::string text = "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(long_body.substr(0, 50'000), 77);
+  const std::string text =
+      "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(long_body.substr(0, 50'000), 77);
   std::string got;
   reading r = reading::unfinished;
   for (const char c : text + "GET / HTTP/1.1\r\n\r\n") {
@@ -227,7 +238,8 @@
   CHECK(m.next() == reading::unfinished);
 }
 
-TEST_CASE("while its body is coming a txn is not late, nor its server at work, and both are once it is whole") {
+TEST_CASE(
+    "while its body is coming a txn is not late, nor its server at work, and both are once it is whole") {
   Balancer b = knowing({"a"});
   Said coming;
   coming.coming = true;
