--- a/src/mesh/role.cpp
+++ b/src/mesh/role.cpp
@@ -12,8 +12,6 @@
 namespace {
 using namespace std::chrono_literals;
 constexpr auto tick_every = 100ms;
-constexpr std::int64_t learn_pause = 20'000;  // microseconds between two plans at the least
-constexpr std::int64_t learn_part = 9;        // times as long as the last plan took
 constexpr std::int64_t leap =
     1'000'000;  // microseconds beyond its time that a tick may come before it tells of a stop
 
@@ -99,9 +97,9 @@
 void Role::changed() {
   if (learns_later_ || (creed_.changes() == items_seen_ && rumour_.roll().changes() == records_seen_)) return;
   const std::int64_t at = now();
-  if (at < next_learn_) {
+  if (!throttle_.due(at)) {
     learns_later_ = true;
-    learns_.expires_after(std::chrono::microseconds(next_learn_ - at));
+    learns_.expires_after(std::chrono::microseconds(throttle_.next() - at));
     learns_.async_wait([this](asio::error_code over) {
       if (over) return;
       learns_later_ = false;
@@ -112,7 +110,7 @@
   items_seen_ = creed_.changes();
   records_seen_ = rumour_.roll().changes();
   learnt();
-  next_learn_ = now() + std::max(learn_pause, (now() - at) * learn_part);
+  throttle_.applied(at, now());
 }
 
 void Role::tick() {
--- a/src/mesh/role.h
+++ b/src/mesh/role.h
@@ -12,6 +12,7 @@
 #include "../ground/ground.h"
 #include "../rumour/rumour.h"
 #include "../span/udp.h"
+#include "apply_throttle.h"
 #include "lookout.h"
 
 namespace robinpin::mesh {
@@ -68,7 +69,7 @@
   asio::steady_timer timer_, learns_;
   asio::signal_set signals_;
   std::int64_t last_tick_ = 0;
-  std::int64_t next_learn_ = 0;
+  ApplyThrottle throttle_;
   bool learns_later_ = false;
   std::uint64_t items_seen_ = 0, records_seen_ = 0, items_told_ = 0;
 };
