--- a/src/rumour/rumour.cpp
+++ b/src/rumour/rumour.cpp
@@ -213,7 +213,7 @@
       repairing_ = asks_one_ = true;
       hurry(now);
     }
-    if (now < flood_until_) of.items = 0;
+    if (now < flood_until_ && !theirs.core) of.items = 0;
     if (of.items != 0 && level && many <= few_items && !theirs.core) {
       std::vector<creed::Item> items;
       for (std::size_t p = 0; p < creed::parts; ++p)
--- a/tests/mesh/rumour_test.cpp
+++ b/tests/mesh/rumour_test.cpp
@@ -557,6 +557,24 @@
   CHECK(longest < converge / 2);  // the other half is for busy processors and real networks
 }
 
+TEST(Rumour, a_gap_is_mended_though_items_never_cease_to_come_by_the_hundred) {
+  Town t(3, 3, 8);
+  t.watches = false;
+  for (int i = 0; i < 200; ++i) t.settle("c/" + std::to_string(i), false, "{}");
+  t.run(3 * second);
+  // One that was away while a name was let go of, and another set: of the two it has the lower floor.
+  t.cut_off(ambit(0));
+  t.let_go(t.settle("c/0", true, {}, false));
+  t.settle("c/missed", false, "{}", false);
+  t.net.cut.clear();
+  for (int i = 0; i < 25; ++i) {
+    t.settle_at_once("c/more-", 40, "{}");
+    t.run(100'000);
+  }
+  CHECK(t.creed(ambit(0)).stands("c/missed"));
+  CHECK_FALSE(t.creed(ambit(0)).stands("c/0"));
+}
+
 TEST(Rumour, of_6000_members_none_lapses_while_a_twentieth_is_lost_and_none_stays_that_is_silent) {
   for (const auto& [members, cores] : {std::pair(6'000, 3), std::pair(1'200, 7)}) {
     Leases l(members, cores, 6);
