--- a/src/creed/adjust.cpp
+++ b/src/creed/adjust.cpp
@@ -5,6 +5,7 @@
 #include <rapidjson/stringbuffer.h>
 #include <rapidjson/writer.h>
 
+#include <algorithm>
 #include <charconv>
 #include <cstdlib>
 #include <map>
@@ -18,6 +19,7 @@
 using Out = rapidjson::Writer<rapidjson::StringBuffer>;
 constexpr std::size_t most_faults = 50;
 constexpr long long longest_deadline = 600'000'000;  // ten minutes
+constexpr double longest_span = 1e15;  // microseconds: beyond any use, and far from what a count holds
 constexpr int deepest = 16;
 
 std::string_view text_of(const Value& v) { return {v.GetString(), v.GetStringLength()}; }
@@ -55,7 +57,9 @@
   explicit Reader(Change& change) : change_(change) {}
 
   void read(std::string_view body) {
-    if (doc_.Parse<rapidjson::kParseIterativeFlag>(body.data(), body.size()).HasParseError() ||
+    constexpr unsigned flags = rapidjson::kParseIterativeFlag | rapidjson::kParseValidateEncodingFlag;
+    // To the parser a zero byte is the end, whatever comes behind it.
+    if (body.find('\0') != body.npos || doc_.Parse<flags>(body.data(), body.size()).HasParseError() ||
         !doc_.IsObject() || too_deep(doc_, 0))
       return fault("", "no JSON object, whole");
     const Value* apply = rapidjson::Pointer("/apply").Get(doc_);
@@ -91,6 +95,8 @@
     std::vector<std::string> names;
     for (const Value& name : axes->GetArray()) {
       if (!name.IsString()) return fault(axes_at, "a field's name is no text"), found;
+      if (std::find(names.begin(), names.end(), text_of(name)) != names.end())
+        return fault(axes_at, "a field is named twice"), found;
       names.emplace_back(text_of(name));
     }
     std::size_t n = 0;
@@ -251,6 +257,8 @@
 };
 
 void list_of(Out& out, const Creed& stands, std::string_view mark, const std::vector<std::string>& order) {
+  rapidjson::MemoryPoolAllocator<>
+      pool;  // of all records: one of its own each takes a whole chunk for itself
   std::vector<rapidjson::Document> records;
   std::vector<std::string> axes;
   const auto add = [&](std::string_view name) {
@@ -304,7 +312,8 @@
   double n = 0;
   const auto [stop, wrong] = std::from_chars(text.data(), text.data() + digits, n);
   if (wrong != std::errc() || stop != text.data() + digits) return -1;
-  return (long long)(n * (unit == "s" ? 1e6 : 1e3) + 0.5);
+  n *= unit == "s" ? 1e6 : 1e3;
+  return n < longest_span ? (long long)(n + 0.5) : -1;
 }
 
 std::string version_text(std::uint64_t version) {
--- a/src/creed/plan.cpp
+++ b/src/creed/plan.cpp
@@ -47,7 +47,7 @@
   c.kind = kind == "idempotent" ? mode::idempotent : kind == "inflow" ? mode::inflow : mode::effectful;
   c.deadline = span_at(v, "/deadline", 0);
   c.aim = std::min(c.deadline, span_at(v, "/setpoint_time", c.deadline));
-  c.rank = int(number_at(v, "/rank", 0));
+  c.rank = int(std::clamp(number_at(v, "/rank", 0), 0.0, 1'000'000.0));
   c.tries = int(std::clamp(number_at(v, "/tries", 1), 1.0, 100.0));
   if (const Value* split = rapidjson::Pointer("/distribution").Get(v); split && split->IsArray())
     for (const Value& s : split->GetArray())
--- a/tests/mesh/creed_test.cpp
+++ b/tests/mesh/creed_test.cpp
@@ -144,6 +144,32 @@
   CHECK(faulty(std::string(100'000, '['), "no JSON object"));
 }
 
+TEST(Creed,
+     what_is_cut_short_hidden_or_beyond_all_measure_is_refused_whole_and_what_is_odd_but_valid_is_taken) {
+  const std::string good = first_call("00000008");
+  const auto refused = [](const std::string& body) {
+    const creed::Change c = creed::read_change(body, creed::Creed());
+    return !c.faults.empty() && c.items.empty();
+  };
+  for (std::size_t n = 0; n < good.size(); ++n) CHECK(refused(good.substr(0, n)));
+  CHECK(refused(good + "x"));
+  CHECK(refused(good + good));
+  CHECK(refused(good + std::string(1, '\0') + "x"));
+  CHECK(refused(edited(good, "a.example", "\xff.example")));
+  CHECK(refused(edited(good, "\"tries\"", "\"label\"")));
+  for (const char* deadline : {"600.1s", "0ms", "-1ms", "ms", "4000", "1e3ms", "999999999999999999s", "inf"})
+    CHECK(refused(edited(good, "4000ms", deadline)));
+  CHECK(refused(edited(good, "\"4000ms\"", "null")));
+  CHECK(refused(edited(good, "\"gain\":90", "\"gain\":-90")));
+  CHECK(refused(edited(good, "\"gain\":90", "\"gain\":1e999")));
+  CHECK(refused(edited(good, "\"gain\":90", "\"gain\":NaN")));
+  for (const auto& [what, by] :
+       {std::pair{"00000008", "0000000F"}, std::pair{"a.example", "\xc3\xa4.example"},
+        std::pair{"4000ms", "600s"}, std::pair{"\"gain\":90", "\"gain\":1e300"}})
+    CHECK_FALSE(refused(edited(good, what, by)));
+  CHECK(creed::span_of("999999999999999999s") < 0);
+}
+
 TEST(Creed, all_faults_of_a_call_are_told_at_once_with_their_places) {
   std::string call = edited(first_call("00000008"), "a.example", "");
   call = edited(call, "\"/p1/\",\"idempotent\"", "\"/p1/\",\"odd\"");
