--- a/src/creed/adjust.cpp
+++ b/src/creed/adjust.cpp
@@ -269,7 +269,7 @@
   for (auto it = stands.items().lower_bound(mark); it != stands.items().end() && it->first.starts_with(mark);
        ++it) {
     if (it->second.dropped) continue;
-    records.emplace_back().Parse(it->second.text.data(), it->second.text.size());
+    records.emplace_back(&pool).Parse(it->second.text.data(), it->second.text.size());
   }
   for (const std::string& name : order)
     for (const auto& r : records)
