--- a/tests/mesh/carry_test.cpp
+++ b/tests/mesh/carry_test.cpp
@@ -128,7 +128,7 @@
   explicit Mesh(int n, int tries = 2, std::int64_t deadline_ms = 2'000) : sockets_(1'000) {
     for (std::uint16_t port = 22'000; port < 30'000 && !open(n, port); port = std::uint16_t(port + 7))
       nodes_.clear();
-    creed::Creed c;
+    creed::Creed& c = state;
     const auto route = [&](const char* label, const char* mode) {
       c.take(
           {std::string("c/") + label, 1, false,
@@ -156,6 +156,21 @@
     }
   }
 
+  // As a node does with what it has learnt.
+  void apply_state() {
+    plan = creed::Planner().plan_of(state);
+    for (auto& node : nodes_) node->carry->plan(plan), node->carry->servers(roll, ambit::steady_now());
+  }
+  // Another server takes the place of the one beside a node, of a service that may be unknown so far.
+  void serve_as(int i, const std::string& service) {
+    rumour::Record r = *roll.find(machine(i));
+    gate::Server s = nodes_[std::size_t(i)]->hand->door().server();
+    s.id = r.server = fmt::format("i-{}-{}", service, ++r.word), s.service = r.service = service,
+    s.sequence = 1;
+    roll.take(r, 0);
+    nodes_[std::size_t(i)]->hand->door().beat(ambit::steady_now(), s, 0);
+    for (auto& node : nodes_) node->carry->servers(roll, ambit::steady_now());
+  }
   Box& box(int i) { return nodes_[std::size_t(i)]->box; }
   ambit::Carry& carry(int i) { return *nodes_[std::size_t(i)]->carry; }
   ambit::Hand& hand(int i) { return *nodes_[std::size_t(i)]->hand; }
@@ -266,6 +281,7 @@
 
   asio::io_context io;
   rumour::Roll roll;
+  creed::Creed state;
   std::shared_ptr<const creed::Plan> plan;
 
  private:
@@ -387,6 +403,41 @@
   CHECK(m.box(1).last_head.find("X-Kept: 2") != std::string::npos);
 }
 
+TEST(Carry, routes_added_later_by_the_hundred_to_a_service_known_before_them_are_served_like_the_first) {
+  Mesh m(3);
+  m.serve_as(1, "two");
+  CHECK_EQUAL(200, m.get().status);
+  std::uint64_t version = 1;
+  const auto add = [&](int from, int to) {
+    ++version;
+    m.state.take(
+        {"t/two", version, false, R"({"label":"two","conn_limit":100,"warmup":"3s","warmup_per_s":1})"});
+    for (int i = from; i < to; ++i)
+      m.state.take(
+          {fmt::format("c/later-{}", i), version, false,
+           fmt::format(
+               R"({{"label":"later-{0}","authority":"a.example","path_prefix":"/later-{0}/","mode":"{1}","deadline":"{2}ms","setpoint_time":"{3}ms","target":"{4}","tries":2}})",
+               i, i % 2 ? "idempotent" : "effectful", 2'000 + i, 1'000 + i, i % 3 ? "two" : "one")});
+    m.apply_state();
+  };
+  add(0, 10), add(10, 1'400);
+  int served = 0, calls = 0;
+  for (int i = 0; i < 1'400; i += 23, ++calls) {
+    const int status = m.get(fmt::format("/later-{}/x", i)).status;
+    served += status == 200;
+    CHECK_EQUAL(200, m.get().status);  // and the first ones as before
+  }
+  CHECK_EQUAL(calls, served);
+  // A route that moves to the other service runs there alone from then on.
+  m.state.take(
+      {"c/safe", ++version, false,
+       R"({"label":"safe","authority":"a.example","path_prefix":"/safe/","mode":"idempotent","deadline":"2s","target":"two"})"});
+  m.apply_state();
+  const int before = m.box(1).runs;
+  for (int i = 0; i < 20; ++i) CHECK_EQUAL(200, m.get().status);
+  CHECK_EQUAL(before + 20, m.box(1).runs);
+}
+
 TEST(Carry, what_a_server_turned_away_runs_at_another_in_every_mode) {
   for (const char* path : {"/once/x", "/big/x", "/safe/x"}) {
     Mesh m(2);
--- a/tests/mesh/creed_test.cpp
+++ b/tests/mesh/creed_test.cpp
@@ -5,6 +5,7 @@
 #include <cstdlib>
 #include <filesystem>
 #include <fstream>
+#include <random>
 
 #include "../../src/creed/adjust.h"
 #include "../../src/creed/plan.h"
@@ -220,6 +221,46 @@
   CHECK(plan->find("a.example", "") == nullptr);
 }
 
+TEST(Creed, whatever_the_order_in_which_versions_come_the_plan_is_that_of_the_newest_and_never_goes_back) {
+  const auto route = [](const std::string& label, const std::string& prefix, std::uint64_t version,
+                        bool dropped = false) {
+    return creed::Item{"c/" + label, version, dropped,
+                       dropped ? ""
+                               : R"({"label":")" + label + R"(","authority":"a.example","path_prefix":")" +
+                                     prefix + R"(","mode":"inflow","deadline":"1s","target":"v)" +
+                                     std::to_string(version) + R"("})",
+                       version};
+  };
+  const auto service = [](const creed::Plan& plan, const char* path) {
+    const creed::Channel* c = plan.find("a.example", path);
+    return c ? c->shares[0].service : "none";
+  };
+  // One moves, and moves back; a second one takes its place meanwhile, and goes.
+  const std::vector<creed::Item> history = {route("a", "/p/", 1), route("a", "/q/", 3), route("b", "/p/", 4),
+                                            route("b", "/p/", 5, true), route("a", "/p/", 6)};
+  const std::vector<std::pair<std::string, std::string>> expected = {
+      {"v1", "none"}, {"none", "v3"}, {"v4", "v3"}, {"none", "v3"}, {"v6", "none"}};
+  std::mt19937 chance(3);
+  for (int round = 0; round < 50; ++round) {
+    creed::Creed copy;
+    creed::Planner planner;
+    for (std::size_t n = 0; n < history.size(); ++n) {
+      std::vector<creed::Item> come(history.begin(), history.begin() + std::ptrdiff_t(n) + 1);
+      std::shuffle(come.begin(), come.end(), chance);  // older ones arrive again
+      for (const auto& i : come) copy.take(i);
+      const auto plan = planner.plan_of(copy);
+      CHECK_EQUAL(expected[n].first, service(*plan, "/p/x"));
+      CHECK_EQUAL(expected[n].second, service(*plan, "/q/x"));
+    }
+  }
+  // Of two that stand at one place the newer is in force, whichever name comes first.
+  for (const auto& [older, newer] : {std::pair{"a", "b"}, std::pair{"b", "a"}}) {
+    creed::Creed copy;
+    copy.take(route(older, "/p/", 7)), copy.take(route(newer, "/p/", 8));
+    CHECK_EQUAL(std::string("v8"), service(*creed::Planner().plan_of(copy), "/p/x"));
+  }
+}
+
 TEST(Creed, any_bytes_are_read_without_harm_and_never_give_items_with_faults) {
   const creed::Creed known = stands(first_call("00000007"));
   const std::string good = first_call("00000009");
--- a/tests/mesh/rumour_test.cpp
+++ b/tests/mesh/rumour_test.cpp
@@ -575,6 +575,26 @@
   CHECK_FALSE(t.creed(ambit(0)).stands("c/0"));
 }
 
+TEST(Rumour, what_nobody_told_a_node_it_learns_within_converge_though_two_of_five_cores_are_out_of_reach) {
+  std::int64_t longest = 0;
+  for (std::uint32_t seed = 1; seed <= 40; ++seed) {
+    Town t(1, 5, seed);  // no other member that could tell it
+    t.settle("c/first");
+    t.run(3 * second + std::int64_t(seed) * 13'000);
+    for (const int i : {int(seed % 5), int((seed + 1 + seed % 2) % 5)})
+      if (seed % 3)
+        t.cut(ambit(0), core(i));
+      else
+        t.stale.insert(core(i)), t.rumour(core(i)).whole(false);
+    const std::int64_t begun = t.net.now;
+    t.settle("c/news", false, "{}", false);
+    while (!t.creed(ambit(0)).stands("c/news") && t.net.now < begun + 10 * second) t.run(10'000);
+    longest = std::max(longest, t.net.now - begun);
+  }
+  std::printf(" longest %.2f s\n", double(longest) / second);
+  CHECK(longest < converge);
+}
+
 TEST(Rumour, of_6000_members_none_lapses_while_a_twentieth_is_lost_and_none_stays_that_is_silent) {
   for (const auto& [members, cores] : {std::pair(6'000, 3), std::pair(1'200, 7)}) {
     Leases l(members, cores, 6);
