--- a/tests/mesh/fleet_test.cpp
+++ b/tests/mesh/fleet_test.cpp
@@ -1,5 +1,6 @@
 #include "fleet.h"
 
+#include <algorithm>
 #include <set>
 
 #include <CppUTest/TestHarness.h>
@@ -71,6 +72,44 @@
   }
 }
 
+TEST(Fleet, what_was_acknowledged_lasts_though_all_machines_lose_power_in_that_moment_and_disks_are_lost) {
+  for (std::uint32_t seed = 0; seed < 40; ++seed) {
+    const int cores = seed % 2 ? 5 : 3, emptied = cores / 2;
+    Fleet f(3, cores, 900 + seed);
+    f.run(second);
+    f.net.loss = seed % 4 == 3 ? 0.1 : 0;
+    // Every core is asked for something, all at once: what is answered by then has to last.
+    std::vector<std::pair<std::string, std::shared_ptr<std::optional<locus::Outcome>>>> asked;
+    CHECK_EQUAL(200, taken(f, core(0), What::adjust, first_call("00000007")));
+    for (int i = 0; i < cores; ++i) {
+      const std::string label = "new-" + std::to_string(i);
+      asked.emplace_back("c/" + label, f.order(core(i), What::adjust, one_route("00000009", "two", label)));
+      const std::string zone = "zone-" + std::to_string(i);
+      asked.emplace_back("e/" + zone, f.order(core(i), What::begin, zone));
+    }
+    const auto answered = [&](std::size_t count) {
+      return std::size_t(std::count_if(asked.begin(), asked.end(), [](const auto& a) {
+               return *a.second && (*a.second)->status == 200;
+             })) >= count;
+    };
+    for (int i = 0; i < 5'000 && !answered(1 + seed % asked.size()); ++i) f.run(500);
+    CHECK(answered(1));
+    std::set<std::string> acknowledged = {"c/r0"};
+    for (const auto& [name, outcome] : asked)
+      if (*outcome && (*outcome)->status == 200) acknowledged.insert(name);
+    for (auto& [m, n] : f.nodes) f.kill(m), n.disk->lose_power();
+    for (int i = 0; i < emptied; ++i) f.wipe(core((int(seed / 2) + i) % cores));
+    f.net.loss = 0;
+    for (auto& [m, n] : f.nodes) f.start(m);
+    f.run(4 * second);
+    for (int i = 0; i < cores; ++i) {
+      CHECK(!reads(f, core(i)).empty());
+      for (const auto& name : acknowledged) CHECK(f.nodes.at(core(i)).creed->stands(name));
+    }
+    for (const auto& why : f.faults) FAIL(why.c_str());
+  }
+}
+
 TEST(Fleet, an_empty_disk_is_no_copy_before_it_has_met_all_that_may_be_lost_with_it) {
   Fleet f(0, 3, 4);
   f.cut(core(0), core(2));
