--- a/src/rumour/wire.h
+++ b/src/rumour/wire.h
@@ -182,7 +182,7 @@
 
 // What is sent: news of 8 records, or of items up to 1.2 KB, of bulk 12 KB, or of one longer item (one that
 // alone is beyond what is taken never arrives: orders have to bound it); digests of 0.3 KB, 4 bytes a core
-// and at most 6 KB of leases; listings of at most 41 KB.
+// and at most 6 KB of leases; listings of at most 41 KB, two at once.
 constexpr std::size_t longest_datagram = 60'000;  // taken
 constexpr std::size_t full_datagram = 1'200;      // no further item is put into one that holds so much
 // Where items come by the hundred each datagram is dear (a wake-up, a call, a sync at a core): fewer and
