--- a/src/ambit/carry.cpp
+++ b/src/ambit/carry.cpp
@@ -78,19 +78,20 @@
   std::shared_ptr<State> state_;
 };
 
-// What bodies take of this process's memory, while one is at work. Shared: one at rest may outlive its node.
-class Share {
+// Adds to a total while it lives. The total is shared: a suspended coroutine may outlive its node.
+class ScopedCount {
  public:
-  Share(std::shared_ptr<std::size_t> all, std::size_t mine) : all_(std::move(all)), mine_(mine) {
-    *all_ += mine_;
+  ScopedCount(std::shared_ptr<std::size_t> total, std::size_t amount)
+      : total_(std::move(total)), amount_(amount) {
+    *total_ += amount_;
   }
-  ~Share() { *all_ -= mine_; }
-  Share(const Share&) = delete;
-  Share& operator=(const Share&) = delete;
+  ~ScopedCount() { *total_ -= amount_; }
+  ScopedCount(const ScopedCount&) = delete;
+  ScopedCount& operator=(const ScopedCount&) = delete;
 
  private:
-  std::shared_ptr<std::size_t> all_;
-  std::size_t mine_;
+  std::shared_ptr<std::size_t> total_;
+  std::size_t amount_;
 };
 
 }  // namespace
@@ -196,6 +197,7 @@
         if (gone) co_return;
       }
     }
+    const ScopedCount pending(pending_, 1);
     c->limit(steady::now() + std::chrono::microseconds(b.header));
     asio::error_code error;
     const codec::reading got =
@@ -218,14 +220,12 @@
         error = co_await c->write(go_on, {}, written);
         if (error) co_return;
       }
-      const Share share(bodies_, source ? Source::kept : c->in.body().size());
+      const ScopedCount body_bytes(bodies_, source ? Source::kept : c->in.body().size());
       most_held_ = std::max(most_held_, *bodies_);
-      ++pending_;
       if (*bodies_ <= most_bodies_)
         a = co_await answer_to(c, source, gone);
       else
         ++counts_.refused, a = own(503, "this node holds all it can", unready_back);
-      --pending_;
       while (source && source->pouring)
         co_await source->rest.async_wait(asio::redirect_error(asio::use_awaitable, error));
     }
@@ -550,7 +550,7 @@
       parcel->body = std::make_shared<const std::string>(m.body()), inner_bytes_ += m.body().size();
     Answer a;
     bool gone = false;
-    ++pending_;
+    const ScopedCount pending(pending_, 1);
     if (probes) {
       const auto f = co_await hand_.probe(instance, probe_limit);
       a.status = f && f->how_far == came::answered ? f->status : 503;
@@ -578,7 +578,6 @@
                         r.why.empty() ? "broken" : r.why, parcel->id);
       }
     }
-    --pending_;
     if (source) inner_bytes_ += c->in.came();
     if (gone || !c->open() || (source && source->failed)) co_return;
     const bool rest = source && !c->in.whole();
--- a/src/ambit/carry.h
+++ b/src/ambit/carry.h
@@ -33,7 +33,8 @@
   void ends(micros refuses_from);
   // What is still at work gets its answer by then.
   void end_by(micros at) { choices_.end_by(at); }
-  std::size_t pending() const { return pending_; }
+  // Requests of which bytes have come and whose answer is not written whole yet.
+  std::size_t pending() const { return *pending_; }
   std::size_t most_held() const { return most_held_; }  // bytes of callers' bodies at once, so far
   void sweep();
 
@@ -108,7 +109,7 @@
   rumour::Machine self_ = 0;
   bool ready_ = false, ending_ = false;
   micros refuses_from_ = std::numeric_limits<micros>::max();
-  std::size_t pending_ = 0;
+  std::shared_ptr<std::size_t> pending_ = std::make_shared<std::size_t>(0);
   std::uint64_t inner_bytes_ = 0;
   Counts counts_;
   std::map<std::string, std::uint64_t> endings_;  // a few dozen names at the most
--- a/tests/mesh/carry_test.cpp
+++ b/tests/mesh/carry_test.cpp
@@ -629,6 +629,45 @@
   CHECK_EQUAL(200, a.status);
 }
 
+// The process ends once nothing is pending: an answer of which a part waits for its reader is.
+TEST(Carry, an_answer_that_its_client_reads_slowly_is_pending_until_it_is_written) {
+  for (const int remote : {0, 1}) {
+    Mesh m(2);
+    m.only({remote});
+    const std::string large(8 * 1024 * 1024, 'x');
+    m.box(remote).answer = [&](const codec::Message& in) { return ++m.box(remote).runs, seal_of(in, large); };
+    node::Sockets sockets(10);
+    const auto c = std::make_shared<node::Connection>(tcp::socket(m.io), sockets, HTTP_RESPONSE,
+                                                      codec::Limits{16 * 1024, 16 * 1024 * 1024});
+    bool connected = false;
+    asio::co_spawn(
+        m.io,
+        [&]() -> awaitable<void> {
+          co_await c->connect(m.calls_at());
+          c->socket.set_option(asio::socket_base::receive_buffer_size(128 * 1024));
+          std::size_t written = 0;
+          co_await c->write("GET /safe/x HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: t1\r\n\r\n", {},
+                            written);
+          connected = true;
+        },
+        asio::detached);
+    CHECK(m.until([&] { return connected && m.runs() == 1; }));
+    m.io.run_for(200ms);
+    CHECK_EQUAL(1, m.carry(0).pending());
+    codec::reading got = codec::reading::unfinished;
+    asio::co_spawn(
+        m.io,
+        [&]() -> awaitable<void> {
+          asio::error_code error;
+          got = co_await c->read(error);
+        },
+        asio::detached);
+    CHECK(m.until([&] { return got != codec::reading::unfinished; }));
+    CHECK(c->in.body() == large);
+    CHECK(m.until([&] { return m.carry(0).pending() == 0; }));
+  }
+}
+
 // Else it is given up when the node's time is over, though its server is at work on it.
 TEST(Carry, a_node_that_is_about_to_end_takes_no_request_that_it_would_give_up) {
   Mesh m(1);
