--- a/src/mesh/ambit.cpp
+++ b/src/mesh/ambit.cpp
@@ -11,6 +11,7 @@
 #include "../net/listening.h"
 #include "../port/calls.h"
 #include "role.h"
+#include "shutdown_schedule.h"
 
 namespace robinpin::mesh {
 
@@ -188,12 +189,11 @@
   void told_to_end() override {
     if (ending_) return;
     ending_ = true;
-    least_end_ = now() + std::min<std::int64_t>(settings.grace / 2, 3'500'000);
-    last_end_ = now() + settings.grace * 9 / 10;
-    carry_.end_by(clock_.now() + settings.grace * 8 / 10);
-    // Callers' lists lag, and a busy process reads late: what is sent in the second half would be given up at
-    // the end of it.
-    carry_.ends(clock_.now() + settings.grace * 4 / 10);
+    const ShutdownSchedule schedule = ShutdownSchedule::within(settings.grace);
+    least_end_ = now() + schedule.earliest_end;
+    last_end_ = now() + schedule.latest_end;
+    carry_.end_by(clock_.now() + schedule.gives_up_at);
+    carry_.ends(clock_.now() + schedule.refuses_from);
     publish();
     settle_ready();
   }
