--- a/src/ambit/carry.cpp
+++ b/src/ambit/carry.cpp
@@ -231,7 +231,9 @@
     }
     if (gone || !c->open()) co_return;
     const bool rest = source && !c->in.whole();
-    const bool stays = read && !rest && c->in.keep_alive() && !ending_;
+    // What a client has sent behind this request already is answered, too, before a process ends.
+    const bool last = ending_ && !c->in.behind() && c->still();
+    const bool stays = read && !rest && c->in.keep_alive() && !last;
     c->limit(steady::now() + write_limit);
     const bool bare = a.status == 204 || a.status == 304;
     const std::string head =
--- a/tests/mesh/carry_test.cpp
+++ b/tests/mesh/carry_test.cpp
@@ -668,6 +668,38 @@
   }
 }
 
+TEST(Carry, requests_that_were_pipelined_before_a_node_ends_are_all_answered) {
+  Mesh m(1);
+  m.box(0).late = [] { return 20ms; };
+  int answers = 0;
+  bool over = false, closed = false;
+  asio::co_spawn(
+      m.io,
+      [&]() -> awaitable<void> {
+        const auto c = m.client();
+        c->limit(node::steady::now() + 3s);
+        co_await c->connect(m.calls_at());
+        std::string text;
+        for (int n = 0; n < 3; ++n)
+          text += fmt::format("GET /safe/x HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: p{}\r\n\r\n", n);
+        std::size_t written = 0;
+        asio::error_code error = co_await c->write(text, {}, written);
+        while (!error && answers < 3) {
+          if (!c->in.whole()) co_await c->read(error);
+          if (error) break;
+          ++answers, closed = !c->in.keep_alive();
+          c->in.next();
+        }
+        over = true;
+      },
+      asio::detached);
+  CHECK(m.until([&] { return m.box(0).arrivals == 1; }));
+  m.carry(0).ends(std::numeric_limits<micros>::max());
+  CHECK(m.until([&] { return over; }));
+  CHECK_EQUAL(3, answers);
+  CHECK(closed);
+}
+
 // Else it is given up when the node's time is over, though its server is at work on it.
 TEST(Carry, a_node_that_is_about_to_end_takes_no_request_that_it_would_give_up) {
   Mesh m(1);
