--- a/src/ambit/carry.cpp
+++ b/src/ambit/carry.cpp
@@ -244,7 +244,7 @@
     error = co_await c->write(head, c->in.method() == "HEAD" ? std::string_view() : std::string_view(a.body),
                               written);
     if (!error && rest) co_await read_out(*c);
-    if (!error && !read) co_await c->see_out(out_limit);
+    if (!error && !stays) co_await c->see_out(out_limit);
     if (error || !stays) co_return;
     if (const auto next = c->in.next();
         next != codec::reading::unfinished && next != codec::reading::complete)
--- a/tests/mesh/carry_test.cpp
+++ b/tests/mesh/carry_test.cpp
@@ -700,6 +700,38 @@
   CHECK(closed);
 }
 
+// A connection closed over unread bytes is reset, and what of its last answer has not been sent goes with it.
+TEST(Carry, bytes_behind_the_last_request_of_a_connection_do_not_cost_its_answer) {
+  Mesh m(1);
+  const std::string large(2 * 1024 * 1024, 'x');
+  m.box(0).answer = [&](const codec::Message& in) { return ++m.box(0).runs, seal_of(in, large); };
+  node::Sockets sockets(10);
+  const auto c = std::make_shared<node::Connection>(tcp::socket(m.io), sockets, HTTP_RESPONSE,
+                                                    codec::Limits{16 * 1024, 16 * 1024 * 1024});
+  bool over = false;
+  asio::co_spawn(
+      m.io,
+      [&]() -> awaitable<void> {
+        co_await c->connect(m.calls_at());
+        c->socket.set_option(asio::socket_base::receive_buffer_size(128 * 1024));
+        std::size_t written = 0;
+        co_await c->write(
+            "GET /safe/x HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: t1\r\nConnection: close\r\n\r\n", {},
+            written);
+        asio::steady_timer pause(m.io, 200ms);
+        asio::error_code error;
+        co_await pause.async_wait(asio::redirect_error(asio::use_awaitable, error));
+        co_await c->write("GET /safe/y HTTP/1.1\r\n", {}, written);
+        pause.expires_after(100ms);
+        co_await pause.async_wait(asio::redirect_error(asio::use_awaitable, error));
+        co_await c->read(error);
+        over = true;
+      },
+      asio::detached);
+  CHECK(m.until([&] { return over; }));
+  CHECK(c->in.body() == large);
+}
+
 // Else it is given up when the node's time is over, though its server is at work on it.
 TEST(Carry, a_node_that_is_about_to_end_takes_no_request_that_it_would_give_up) {
   Mesh m(1);
