--- a/src/ambit/carry.cpp
+++ b/src/ambit/carry.cpp
@@ -114,11 +114,23 @@
 }
 
 void Carry::plan(std::shared_ptr<const creed::Plan> plan) {
+  const bool rest_longer = plan->bounds.idle > plan_->bounds.idle;
   plan_ = plan;
+  if (rest_longer) extend_idle();
   hand_.plan(plan);
   choices_.plan(*plan);
 }
 
+// Clients go by the limit that is in force as they take up a connection, not by the one under which it began
+// to rest. A shorter one binds connections from their next rest on: some clients still go by the longer.
+void Carry::extend_idle() {
+  for (const auto& weak : callers_) {
+    const auto c = weak.lock();
+    if (!c || !c->open() || c->in.begun() || c->idle_since == steady::time_point()) continue;
+    c->limit(c->idle_since + std::chrono::microseconds(plan_->bounds.idle));
+  }
+}
+
 void Carry::servers(const rumour::Roll& roll, std::int64_t now) {
   choices_.servers(roll, *plan_, now);
   // Of what is free each of twice the nodes known has a part: some may be unknown here, and a new life begins
@@ -185,11 +197,10 @@
 awaitable<void> Carry::serve(std::shared_ptr<Connection> c) {
   callers_.push_back(c);
   for (bool first = true;; first = false) {
-    // Limits as they stand at each request: the configuration may have changed.
-    const creed::Bounds b = plan_->bounds;
     if (!c->in.begun()) {
-      c->limit(steady::now() +
-               (first ? std::chrono::microseconds(b.header) : std::chrono::microseconds(b.idle)));
+      const creed::Bounds& bounds = plan_->bounds;
+      if (!first) c->idle_since = steady::now();
+      c->limit(steady::now() + std::chrono::microseconds(first ? bounds.header : bounds.idle));
       if (!c->in.behind()) {
         asio::error_code gone;
         co_await c->socket.async_wait(tcp::socket::wait_read,
@@ -198,7 +209,7 @@
       }
     }
     const ScopedCount pending(pending_, 1);
-    c->limit(steady::now() + std::chrono::microseconds(b.header));
+    c->limit(steady::now() + std::chrono::microseconds(plan_->bounds.header));
     asio::error_code error;
     const codec::reading got =
         c->in.whole() ? codec::reading::complete : co_await c->read(error, Source::kept, pace);
--- a/src/ambit/carry.h
+++ b/src/ambit/carry.h
@@ -87,6 +87,7 @@
   static Answer passed_on(const Fate& f);
   Answer passed_on(const Fate& f, const Trip& t);
   Way& way(rumour::Machine m);
+  void extend_idle();
 
   asio::io_context& io_;
   const node::Clock& clock_;
--- a/tests/mesh/carry_test.cpp
+++ b/tests/mesh/carry_test.cpp
@@ -3,6 +3,8 @@
 #include <asio.hpp>
 #include <fmt/format.h>
 
+#include <thread>
+
 #include "../../src/ambit/carry.h"
 #include "../../src/net/listening.h"
 #include "../../src/port/port.h"
@@ -732,6 +734,73 @@
   CHECK(c->in.body() == large);
 }
 
+namespace {
+
+// A client's connection that carries one request after the other.
+struct KeptConnection {
+  explicit KeptConnection(Mesh& mesh) : mesh_(mesh), connection_(mesh.client()) {
+    connection_->socket.connect(mesh.calls_at());
+  }
+  void send() {
+    asio::write(connection_->socket,
+                asio::buffer(fmt::format(
+                    "GET /safe/x HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: k{}\r\n\r\n", ++number_)));
+  }
+  // The status that comes; 0: the connection ended.
+  int status() {
+    int status = -1;
+    asio::co_spawn(
+        mesh_.io,
+        [&]() -> awaitable<void> {
+          asio::error_code error;
+          const bool whole = co_await connection_->read(error) == codec::reading::complete;
+          status = whole ? connection_->in.status() : 0;
+          connection_->in.next();
+        },
+        asio::detached);
+    mesh_.until([&] { return status >= 0; });
+    return status;
+  }
+
+ private:
+  Mesh& mesh_;
+  std::shared_ptr<node::Connection> connection_;
+  int number_ = 0;
+};
+
+void set_idle(Mesh& m, std::chrono::microseconds idle) {
+  auto plan = std::make_shared<creed::Plan>(*m.plan);
+  plan->bounds.idle = idle.count();
+  m.carry(0).plan(plan);
+}
+
+}  // namespace
+
+TEST(Carry, a_connection_that_rests_goes_by_a_longer_idle_limit_as_soon_as_it_is_in_force) {
+  Mesh m(1);
+  set_idle(m, 100ms);
+  KeptConnection client(m);
+  client.send();
+  CHECK_EQUAL(200, client.status());
+  m.io.run_for(30ms);
+  set_idle(m, 5s);
+  m.io.run_for(300ms);
+  client.send();
+  CHECK_EQUAL(200, client.status());
+}
+
+TEST(Carry, a_request_that_arrives_as_the_idle_limit_ends_while_the_process_is_busy_is_answered) {
+  Mesh m(1);
+  set_idle(m, 50ms);
+  KeptConnection client(m);
+  client.send();
+  CHECK_EQUAL(200, client.status());
+  m.io.run_for(20ms);
+  client.send();
+  std::this_thread::sleep_for(100ms);  // the process does other work: its timers and sockets wait
+  CHECK_EQUAL(200, client.status());
+}
+
 // Else it is given up when the node's time is over, though its server is at work on it.
 TEST(Carry, a_node_that_is_about_to_end_takes_no_request_that_it_would_give_up) {
   Mesh m(1);
