--- a/src/ambit/carry.cpp
+++ b/src/ambit/carry.cpp
@@ -4,6 +4,7 @@
 
 #include <algorithm>
 
+#include "../net/detached.h"
 #include "../net/listening.h"
 #include "../port/port.h"
 #include "../span/span.h"
@@ -305,7 +306,7 @@
   if (auto& set = probing_[t->desk]; !set) {
     set = true;
     t->desk->probes_by([this, desk = t->desk](const std::string& server) {
-      asio::co_spawn(io_, probe(desk, server), asio::detached);
+      asio::co_spawn(io_, probe(desk, server), node::log_failure);
     });
   }
   t->parcel = std::make_shared<Parcel>();
@@ -355,7 +356,7 @@
     switch (order.next) {
       case node::Order::what::post:
         t->out[order.posting] = std::make_shared<Errand>();
-        asio::co_spawn(io_, post(t, order), asio::detached);
+        asio::co_spawn(io_, post(t, order), node::log_failure);
         break;
       case node::Order::what::withdraw:
         if (const auto it = t->out.find(order.posting); it != t->out.end()) it->second->call_off();
--- a/src/port/port.cpp
+++ b/src/port/port.cpp
@@ -2,6 +2,7 @@
 
 #include <fmt/format.h>
 
+#include "../net/detached.h"
 #include "../net/listening.h"
 
 namespace robinpin::port {
@@ -69,7 +70,7 @@
     if (!sockets.make_room()) continue;  // closed unread: its sender goes elsewhere
     socket.set_option(tcp::no_delay(true), wrong);
     auto c = std::make_shared<Connection>(std::move(socket), sockets, HTTP_REQUEST, limits);
-    asio::co_spawn(acceptor.get_executor(), serve(std::move(c)), asio::detached);
+    asio::co_spawn(acceptor.get_executor(), serve(std::move(c)), node::log_failure);
   }
 }
 
--- a/tests/mesh/port_test.cpp
+++ b/tests/mesh/port_test.cpp
@@ -37,6 +37,7 @@
       : sockets(100), calls(io, sockets, limits, bounds) {
     calls.on<Slow>([this](Slow s) -> awaitable<port::Reply> {
       ++begun;
+      if (s.what == "fails") throw std::runtime_error("no memory");
       while (s.what != "now" && s.what != "no" && !let.contains(s.what)) {
         asio::steady_timer pause(io, 1ms);
         asio::error_code woken;
@@ -287,6 +288,20 @@
   }
 }
 
+TEST(Port, an_exception_in_one_connection_ends_that_one_alone) {
+  Office office;
+  Caller waits(office), fails(office);
+  waits.get("a");
+  CHECK(office.until([&] { return office.begun == 1; }));
+  fails.get("fails");
+  CHECK(fails.ends());
+  office.let.insert("a");
+  CHECK(waits.hears("<a>"));
+  Caller later(office);
+  later.get("now");
+  CHECK(later.hears("<now>"));
+}
+
 TEST(Port, each_status_has_its_phrase) {
   for (const auto& [status, phrase] : std::vector<std::pair<int, std::string>>{{307, "Temporary Redirect"},
                                                                                {409, "Conflict"},
