--- a/tests/mesh/carry_test.cpp
+++ b/tests/mesh/carry_test.cpp
@@ -746,6 +746,7 @@
                 asio::buffer(fmt::format(
                     "GET /safe/x HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: k{}\r\n\r\n", ++number_)));
   }
+  void end_sending() { connection_->socket.shutdown(tcp::socket::shutdown_send); }
   // The status that comes; 0: the connection ended.
   int status() {
     int status = -1;
@@ -801,6 +802,45 @@
   CHECK_EQUAL(200, client.status());
 }
 
+// Of a route that changes all the time each deadline it ever had stays known; in between requests go on.
+TEST(Carry, requests_go_on_while_a_route_changes_its_deadline_and_its_service_hundreds_of_times) {
+  Mesh m(1);
+  m.box(0).late = [] { return 2ms; };
+  KeptConnection client(m);
+  std::chrono::microseconds first{}, last{};
+  constexpr int changes = 300;
+  for (int n = 1; n <= changes; ++n) {
+    auto plan = std::make_shared<creed::Plan>(*m.plan);
+    auto channel = std::make_shared<creed::Channel>(*m.plan->find("a.example", "/safe/x"));
+    channel->deadline += 1'000 * n, channel->aim = channel->deadline;
+    plan->hosts["a.example"]["/safe/"] = channel;
+    if (n % 2 == 0) plan->hosts["a.example"].erase("/safe/");  // dropped as the request is at work
+    client.send();
+    CHECK(m.until([&] { return m.box(0).arrivals == n; }));
+    const auto begun = node::steady::now();
+    m.carry(0).plan(plan);
+    m.carry(0).servers(m.roll, ambit::steady_now());
+    const auto took = std::chrono::duration_cast<std::chrono::microseconds>(node::steady::now() - begun);
+    (n <= 20 ? first : last) += n <= 20 || n > changes - 20 ? took : 0us;
+    CHECK_EQUAL(200, client.status());
+    m.carry(0).plan(m.plan);
+  }
+  CHECK(last < first + 20 * 5ms);  // of twenty changes: the event loop is not held up
+  CHECK_EQUAL(changes, m.runs());
+}
+
+// Nothing tells a client that only ends its sending from one that has closed, and for that one no server may
+// go on working.
+TEST(Carry, a_client_that_ends_its_sending_counts_as_gone) {
+  Mesh m(1);
+  m.box(0).late = [] { return 100ms; };
+  KeptConnection client(m);
+  client.send();
+  client.end_sending();
+  CHECK_EQUAL(0, client.status());
+  CHECK(m.box(0).arrivals <= 1);
+}
+
 // Else it is given up when the node's time is over, though its server is at work on it.
 TEST(Carry, a_node_that_is_about_to_end_takes_no_request_that_it_would_give_up) {
   Mesh m(1);
