--- a/tests/mesh/shutdown_test.cpp
+++ b/tests/mesh/shutdown_test.cpp
@@ -1,9 +1,135 @@
-// What a process does between its SIGTERM and its SIGKILL, against what the rules allow.
+// What a process does between its SIGTERM and its SIGKILL: its times against what the rules allow, and a real
+// process with an answer under way.
+#include <asio.hpp>
+#include <fmt/format.h>
+#include <signal.h>
+#include <sys/prctl.h>
+#include <sys/wait.h>
+#include <unistd.h>
+
+#include <atomic>
+#include <filesystem>
+#include <fstream>
+#include <thread>
+#include <utility>
+
+#include "../../src/mesh/role.h"
 #include "../../src/mesh/shutdown_schedule.h"
 
 #include <CppUTest/TestHarness.h>
 
 using robinpin::mesh::ShutdownSchedule;
+using namespace robinpin;
+using namespace std::chrono_literals;
+using tcp = asio::ip::tcp;
+using steady = std::chrono::steady_clock;
+
+namespace {
+
+constexpr std::size_t large = 8 * 1024 * 1024;  // more than the kernel takes of an answer that nobody reads
+
+// A core, a node and its server, which answers each request at once with a large body.
+class Machines {
+ public:
+  Machines() : acceptor_(io_) {
+    char name[] = "/tmp/robinpin-shutdown-XXXXXX";
+    folder_ = ::mkdtemp(name);
+    core_ = start("core", "127.0.26.1", R"("first_start":true,)", mesh::locus);
+    node_ =
+        start("node", "127.0.26.2", R"("application":"127.0.26.2:24223","target":"caller",)", mesh::ambit);
+    const tcp::endpoint at(asio::ip::make_address("127.0.26.2"), 24'223);
+    acceptor_.open(at.protocol());
+    acceptor_.set_option(tcp::acceptor::reuse_address(true));
+    acceptor_.bind(at);
+    acceptor_.listen();
+    server_ = std::thread([this] { serve(); });
+  }
+  ~Machines() {
+    for (const pid_t child : {core_, node_}) {
+      if (child == 0) continue;
+      ::kill(child, SIGKILL);
+      ::waitpid(child, nullptr, 0);
+    }
+    ::shutdown(acceptor_.native_handle(), SHUT_RDWR);
+    server_.join();
+    std::filesystem::remove_all(folder_);
+  }
+  // Asks until the answer is a success; false if none comes.
+  static bool call(const char* ip, int port, const std::string& method, const std::string& path,
+                   const std::string& body = "") {
+    for (const auto until = steady::now() + 20s; steady::now() < until; std::this_thread::sleep_for(20ms)) {
+      asio::io_context io;
+      tcp::socket s(io);
+      asio::error_code wrong;
+      s.connect({asio::ip::make_address(ip), std::uint16_t(port)}, wrong);
+      if (wrong) continue;
+      const std::string head =
+          fmt::format("{} {} HTTP/1.1\r\nHost: c\r\nConnection: close\r\nContent-Length: {}\r\n\r\n", method,
+                      path, body.size());
+      asio::write(s, asio::buffer(head + body), wrong);
+      std::string answer;
+      asio::read(s, asio::dynamic_buffer(answer), wrong);
+      if (answer.starts_with("HTTP/1.1 2")) return true;
+    }
+    return false;
+  }
+  static constexpr int control = 24'220, outbound = 24'221, inbound = 24'222, readiness = 24'224;
+  void tell_node(int signal) const { ::kill(node_, signal); }
+  // Until it has ended; its status as waitpid has it.
+  int wait_for_node() {
+    int status = 0;
+    ::waitpid(std::exchange(node_, 0), &status, 0);
+    return status;
+  }
+  std::atomic<int> answered = 0;
+
+ private:
+  template <typename Run>
+  pid_t start(const std::string& name, const std::string& ip, const std::string& own, const Run& run) {
+    const std::string file = folder_ + "/" + name + ".json";
+    std::ofstream(file) << fmt::format(
+        R"({{"ip":"{0}","zone":"east",{1}"ports":{{"control":"{0}:{2}","outbound":"{0}:{3}","inbound":"{0}:{4}","readiness":"{0}:{5}"}},)"
+        R"("inner_ports":[24230,24231],"seed_nodes":["127.0.26.1:{2}"],"data_dir":"{6}/{7}","beat_period":"1500ms",)"
+        R"("envelope":{{"grace_period":"2s"}}}})",
+        ip, own, int(control), int(outbound), int(inbound), int(readiness), folder_, name);
+    const pid_t child = ::fork();
+    if (child != 0) return child;
+    ::prctl(PR_SET_PDEATHSIG, SIGKILL);
+    ::_exit(run({file}));
+  }
+  void serve() {
+    std::vector<std::thread> connections;
+    for (asio::error_code wrong; !wrong;) {
+      tcp::socket socket = acceptor_.accept(wrong);
+      if (!wrong) connections.emplace_back([this, s = std::move(socket)]() mutable { serve(std::move(s)); });
+    }
+    for (auto& c : connections) c.join();
+  }
+  void serve(tcp::socket socket) {
+    asio::error_code wrong;
+    for (std::string head; asio::read_until(socket, asio::dynamic_buffer(head), "\r\n\r\n", wrong), !wrong;
+         head.clear()) {
+      const std::string mark = "X-Attempt-Id: ";
+      const auto at = head.find(mark);
+      const std::string id =
+          at == head.npos ? "" : head.substr(at + mark.size(), head.find('\r', at) - at - mark.size());
+      asio::write(
+          socket,
+          asio::buffer(fmt::format(
+              "HTTP/1.1 200 OK\r\nX-Attempt-Id: {}\r\nX-Server-Seal: s\r\nContent-Length: {}\r\n\r\n{}", id,
+              large, std::string(large, 'x'))),
+          wrong);
+      ++answered;
+    }
+  }
+  asio::io_context io_;
+  tcp::acceptor acceptor_;
+  std::string folder_;
+  pid_t core_ = 0, node_ = 0;
+  std::thread server_;
+};
+
+}  // namespace
 
 TEST_GROUP(Shutdown){};
 
@@ -18,3 +144,39 @@
     CHECK(s.latest_end + tick < grace);
   }
 }
+
+TEST(Shutdown, a_node_ends_within_its_grace_period_and_not_before_a_slow_reader_has_its_answer) {
+  Machines machines;
+  CHECK(Machines::call(
+      "127.0.26.1", Machines::control, "POST", "/v1/Configuration.Adjust",
+      R"({"apply":{"channels":{"axes":["label","authority","path_prefix","mode","deadline","revision","target"],)"
+      R"("records":[["r","a.example","/safe/","idempotent","4000ms","00000001","one"]]},)"
+      R"("targets":{"axes":["label","probe","conn_limit","protocol","tls","warmup","warmup_per_s","revision"],)"
+      R"("records":[["one","/probe",100,"h1",false,"3s",21.0,"00000001"]]}},"remove":{"channels":[]}})"));
+  CHECK(Machines::call("127.0.26.2", Machines::readiness, "GET", "/v1/readiness"));
+  CHECK(Machines::call(
+      "127.0.26.2", Machines::control, "POST", "/v1/Servers.Heartbeat/i-1",
+      R"({"target":"one","address":"127.0.26.2:24223","zone":"east","revision":"1","capacity":4,"state":"admitted","warmup_left":"0s","sequence":1})"));
+  asio::io_context io;
+  tcp::socket client(io);
+  client.open(tcp::v4());
+  client.set_option(asio::socket_base::receive_buffer_size(128 * 1024));
+  client.connect({asio::ip::make_address("127.0.26.2"), Machines::outbound});
+  asio::write(
+      client,
+      asio::buffer(std::string("GET /safe/x HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: t1\r\n\r\n")));
+  for (const auto until = steady::now() + 5s; machines.answered == 0 && steady::now() < until;)
+    std::this_thread::sleep_for(5ms);
+  CHECK_EQUAL(1, machines.answered);
+  std::this_thread::sleep_for(100ms);
+  const auto told = steady::now();
+  machines.tell_node(SIGTERM);
+  std::this_thread::sleep_for(1300ms);  // longer than a node stays that has nothing pending
+  std::string got;
+  asio::error_code ended;
+  asio::read(client, asio::dynamic_buffer(got), ended);
+  CHECK_EQUAL(large, got.size() - (got.find("\r\n\r\n") + 4));
+  const int status = machines.wait_for_node();
+  CHECK(WIFEXITED(status) && WEXITSTATUS(status) == 0);
+  CHECK(steady::now() - told < 2s);
+}
