--- a/src/ambit/carry.cpp
+++ b/src/ambit/carry.cpp
@@ -4,6 +4,7 @@
 
 #include <algorithm>
 
+#include "../net/detached.h"
 #include "../net/listening.h"
 #include "../port/port.h"
 #include "../span/span.h"
@@ -78,19 +79,20 @@
   std::shared_ptr<State> state_;
 };
 
-// What bodies take of this process's memory, while one is at work. Shared: one at rest may outlive its node.
-class Share {
+// Adds to a total while it lives. The total is shared: a suspended coroutine may outlive its node.
+class ScopedCount {
  public:
-  Share(std::shared_ptr<std::size_t> all, std::size_t mine) : all_(std::move(all)), mine_(mine) {
-    *all_ += mine_;
+  ScopedCount(std::shared_ptr<std::size_t> total, std::size_t amount)
+      : total_(std::move(total)), amount_(amount) {
+    *total_ += amount_;
   }
-  ~Share() { *all_ -= mine_; }
-  Share(const Share&) = delete;
-  Share& operator=(const Share&) = delete;
+  ~ScopedCount() { *total_ -= amount_; }
+  ScopedCount(const ScopedCount&) = delete;
+  ScopedCount& operator=(const ScopedCount&) = delete;
 
  private:
-  std::shared_ptr<std::size_t> all_;
-  std::size_t mine_;
+  std::shared_ptr<std::size_t> total_;
+  std::size_t amount_;
 };
 
 }  // namespace
@@ -113,11 +115,23 @@
 }
 
 void Carry::plan(std::shared_ptr<const creed::Plan> plan) {
+  const bool rest_longer = plan->bounds.idle > plan_->bounds.idle;
   plan_ = plan;
+  if (rest_longer) extend_idle();
   hand_.plan(plan);
   choices_.plan(*plan);
 }
 
+// Clients go by the limit that is in force as they take up a connection, not by the one under which it began
+// to rest. A shorter one binds connections from their next rest on: some clients still go by the longer.
+void Carry::extend_idle() {
+  for (const auto& weak : callers_) {
+    const auto c = weak.lock();
+    if (!c || !c->open() || c->in.begun() || c->idle_since == steady::time_point()) continue;
+    c->limit(c->idle_since + std::chrono::microseconds(plan_->bounds.idle));
+  }
+}
+
 void Carry::servers(const rumour::Roll& roll, std::int64_t now) {
   choices_.servers(roll, *plan_, now);
   // Of what is free each of twice the nodes known has a part: some may be unknown here, and a new life begins
@@ -184,11 +198,10 @@
 awaitable<void> Carry::serve(std::shared_ptr<Connection> c) {
   callers_.push_back(c);
   for (bool first = true;; first = false) {
-    // Limits as they stand at each request: the configuration may have changed.
-    const creed::Bounds b = plan_->bounds;
     if (!c->in.begun()) {
-      c->limit(steady::now() +
-               (first ? std::chrono::microseconds(b.header) : std::chrono::microseconds(b.idle)));
+      const creed::Bounds& bounds = plan_->bounds;
+      if (!first) c->idle_since = steady::now();
+      c->limit(steady::now() + std::chrono::microseconds(first ? bounds.header : bounds.idle));
       if (!c->in.behind()) {
         asio::error_code gone;
         co_await c->socket.async_wait(tcp::socket::wait_read,
@@ -196,7 +209,8 @@
         if (gone) co_return;
       }
     }
-    c->limit(steady::now() + std::chrono::microseconds(b.header));
+    const ScopedCount pending(pending_, 1);
+    c->limit(steady::now() + std::chrono::microseconds(plan_->bounds.header));
     asio::error_code error;
     const codec::reading got =
         c->in.whole() ? codec::reading::complete : co_await c->read(error, Source::kept, pace);
@@ -218,20 +232,20 @@
         error = co_await c->write(go_on, {}, written);
         if (error) co_return;
       }
-      const Share share(bodies_, source ? Source::kept : c->in.body().size());
+      const ScopedCount body_bytes(bodies_, source ? Source::kept : c->in.body().size());
       most_held_ = std::max(most_held_, *bodies_);
-      ++pending_;
       if (*bodies_ <= most_bodies_)
         a = co_await answer_to(c, source, gone);
       else
         ++counts_.refused, a = own(503, "this node holds all it can", unready_back);
-      --pending_;
       while (source && source->pouring)
         co_await source->rest.async_wait(asio::redirect_error(asio::use_awaitable, error));
     }
     if (gone || !c->open()) co_return;
     const bool rest = source && !c->in.whole();
-    const bool stays = read && !rest && c->in.keep_alive() && !ending_;
+    // What a client has sent behind this request already is answered, too, before a process ends.
+    const bool last = ending_ && !c->in.behind() && c->still();
+    const bool stays = read && !rest && c->in.keep_alive() && !last;
     c->limit(steady::now() + write_limit);
     const bool bare = a.status == 204 || a.status == 304;
     const std::string head =
@@ -242,7 +256,7 @@
     error = co_await c->write(head, c->in.method() == "HEAD" ? std::string_view() : std::string_view(a.body),
                               written);
     if (!error && rest) co_await read_out(*c);
-    if (!error && !read) co_await c->see_out(out_limit);
+    if (!error && !stays) co_await c->see_out(out_limit);
     if (error || !stays) co_return;
     if (const auto next = c->in.next();
         next != codec::reading::unfinished && next != codec::reading::complete)
@@ -292,7 +306,7 @@
   if (auto& set = probing_[t->desk]; !set) {
     set = true;
     t->desk->probes_by([this, desk = t->desk](const std::string& server) {
-      asio::co_spawn(io_, probe(desk, server), asio::detached);
+      asio::co_spawn(io_, probe(desk, server), node::log_failure);
     });
   }
   t->parcel = std::make_shared<Parcel>();
@@ -342,7 +356,7 @@
     switch (order.next) {
       case node::Order::what::post:
         t->out[order.posting] = std::make_shared<Errand>();
-        asio::co_spawn(io_, post(t, order), asio::detached);
+        asio::co_spawn(io_, post(t, order), node::log_failure);
         break;
       case node::Order::what::withdraw:
         if (const auto it = t->out.find(order.posting); it != t->out.end()) it->second->call_off();
@@ -550,7 +564,7 @@
       parcel->body = std::make_shared<const std::string>(m.body()), inner_bytes_ += m.body().size();
     Answer a;
     bool gone = false;
-    ++pending_;
+    const ScopedCount pending(pending_, 1);
     if (probes) {
       const auto f = co_await hand_.probe(instance, probe_limit);
       a.status = f && f->how_far == came::answered ? f->status : 503;
@@ -578,7 +592,6 @@
                         r.why.empty() ? "broken" : r.why, parcel->id);
       }
     }
-    --pending_;
     if (source) inner_bytes_ += c->in.came();
     if (gone || !c->open() || (source && source->failed)) co_return;
     const bool rest = source && !c->in.whole();
--- a/tests/mesh/carry_test.cpp
+++ b/tests/mesh/carry_test.cpp
@@ -3,6 +3,8 @@
 #include <asio.hpp>
 #include <fmt/format.h>
 
+#include <thread>
+
 #include "../../src/ambit/carry.h"
 #include "../../src/net/listening.h"
 #include "../../src/port/port.h"
@@ -680,6 +682,216 @@
   CHECK_EQUAL(200, a.status);
 }
 
+// The process ends once nothing is pending: an answer of which a part waits for its reader is.
+TEST(Carry, an_answer_that_its_client_reads_slowly_is_pending_until_it_is_written) {
+  for (const int remote : {0, 1}) {
+    Mesh m(2);
+    m.only({remote});
+    const std::string large(8 * 1024 * 1024, 'x');
+    m.box(remote).answer = [&](const codec::Message& in) { return ++m.box(remote).runs, seal_of(in, large); };
+    node::Sockets sockets(10);
+    const auto c = std::make_shared<node::Connection>(tcp::socket(m.io), sockets, HTTP_RESPONSE,
+                                                      codec::Limits{16 * 1024, 16 * 1024 * 1024});
+    bool connected = false;
+    asio::co_spawn(
+        m.io,
+        [&]() -> awaitable<void> {
+          co_await c->connect(m.calls_at());
+          c->socket.set_option(asio::socket_base::receive_buffer_size(128 * 1024));
+          std::size_t written = 0;
+          co_await c->write("GET /safe/x HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: t1\r\n\r\n", {},
+                            written);
+          connected = true;
+        },
+        asio::detached);
+    CHECK(m.until([&] { return connected && m.runs() == 1; }));
+    m.io.run_for(200ms);
+    CHECK_EQUAL(1, m.carry(0).pending());
+    codec::reading got = codec::reading::unfinished;
+    asio::co_spawn(
+        m.io,
+        [&]() -> awaitable<void> {
+          asio::error_code error;
+          got = co_await c->read(error);
+        },
+        asio::detached);
+    CHECK(m.until([&] { return got != codec::reading::unfinished; }));
+    CHECK(c->in.body() == large);
+    CHECK(m.until([&] { return m.carry(0).pending() == 0; }));
+  }
+}
+
+TEST(Carry, requests_that_were_pipelined_before_a_node_ends_are_all_answered) {
+  Mesh m(1);
+  m.box(0).late = [] { return 20ms; };
+  int answers = 0;
+  bool over = false, closed = false;
+  asio::co_spawn(
+      m.io,
+      [&]() -> awaitable<void> {
+        const auto c = m.client();
+        c->limit(node::steady::now() + 3s);
+        co_await c->connect(m.calls_at());
+        std::string text;
+        for (int n = 0; n < 3; ++n)
+          text += fmt::format("GET /safe/x HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: p{}\r\n\r\n", n);
+        std::size_t written = 0;
+        asio::error_code error = co_await c->write(text, {}, written);
+        while (!error && answers < 3) {
+          if (!c->in.whole()) co_await c->read(error);
+          if (error) break;
+          ++answers, closed = !c->in.keep_alive();
+          c->in.next();
+        }
+        over = true;
+      },
+      asio::detached);
+  CHECK(m.until([&] { return m.box(0).arrivals == 1; }));
+  m.carry(0).ends(std::numeric_limits<micros>::max());
+  CHECK(m.until([&] { return over; }));
+  CHECK_EQUAL(3, answers);
+  CHECK(closed);
+}
+
+// A connection closed over unread bytes is reset, and what of its last answer has not been sent goes with it.
+TEST(Carry, bytes_behind_the_last_request_of_a_connection_do_not_cost_its_answer) {
+  Mesh m(1);
+  const std::string large(2 * 1024 * 1024, 'x');
+  m.box(0).answer = [&](const codec::Message& in) { return ++m.box(0).runs, seal_of(in, large); };
+  node::Sockets sockets(10);
+  const auto c = std::make_shared<node::Connection>(tcp::socket(m.io), sockets, HTTP_RESPONSE,
+                                                    codec::Limits{16 * 1024, 16 * 1024 * 1024});
+  bool over = false;
+  asio::co_spawn(
+      m.io,
+      [&]() -> awaitable<void> {
+        co_await c->connect(m.calls_at());
+        c->socket.set_option(asio::socket_base::receive_buffer_size(128 * 1024));
+        std::size_t written = 0;
+        co_await c->write(
+            "GET /safe/x HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: t1\r\nConnection: close\r\n\r\n", {},
+            written);
+        asio::steady_timer pause(m.io, 200ms);
+        asio::error_code error;
+        co_await pause.async_wait(asio::redirect_error(asio::use_awaitable, error));
+        co_await c->write("GET /safe/y HTTP/1.1\r\n", {}, written);
+        pause.expires_after(100ms);
+        co_await pause.async_wait(asio::redirect_error(asio::use_awaitable, error));
+        co_await c->read(error);
+        over = true;
+      },
+      asio::detached);
+  CHECK(m.until([&] { return over; }));
+  CHECK(c->in.body() == large);
+}
+
+namespace {
+
+// A client's connection that carries one request after the other.
+struct KeptConnection {
+  explicit KeptConnection(Mesh& mesh) : mesh_(mesh), connection_(mesh.client()) {
+    connection_->socket.connect(mesh.calls_at());
+  }
+  void send() {
+    asio::write(connection_->socket,
+                asio::buffer(fmt::format(
+                    "GET /safe/x HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: k{}\r\n\r\n", ++number_)));
+  }
+  void end_sending() { connection_->socket.shutdown(tcp::socket::shutdown_send); }
+  // The status that comes; 0: the connection ended.
+  int status() {
+    int status = -1;
+    asio::co_spawn(
+        mesh_.io,
+        [&]() -> awaitable<void> {
+          asio::error_code error;
+          const bool whole = co_await connection_->read(error) == codec::reading::complete;
+          status = whole ? connection_->in.status() : 0;
+          connection_->in.next();
+        },
+        asio::detached);
+    mesh_.until([&] { return status >= 0; });
+    return status;
+  }
+
+ private:
+  Mesh& mesh_;
+  std::shared_ptr<node::Connection> connection_;
+  int number_ = 0;
+};
+
+void set_idle(Mesh& m, std::chrono::microseconds idle) {
+  auto plan = std::make_shared<creed::Plan>(*m.plan);
+  plan->bounds.idle = idle.count();
+  m.carry(0).plan(plan);
+}
+
+}  // namespace
+
+TEST(Carry, a_connection_that_rests_goes_by_a_longer_idle_limit_as_soon_as_it_is_in_force) {
+  Mesh m(1);
+  set_idle(m, 100ms);
+  KeptConnection client(m);
+  client.send();
+  CHECK_EQUAL(200, client.status());
+  m.io.run_for(30ms);
+  set_idle(m, 5s);
+  m.io.run_for(300ms);
+  client.send();
+  CHECK_EQUAL(200, client.status());
+}
+
+TEST(Carry, a_request_that_arrives_as_the_idle_limit_ends_while_the_process_is_busy_is_answered) {
+  Mesh m(1);
+  set_idle(m, 50ms);
+  KeptConnection client(m);
+  client.send();
+  CHECK_EQUAL(200, client.status());
+  m.io.run_for(20ms);
+  client.send();
+  std::this_thread::sleep_for(100ms);  // the process does other work: its timers and sockets wait
+  CHECK_EQUAL(200, client.status());
+}
+
+// Of a route that changes all the time each deadline it ever had stays known; in between requests go on.
+TEST(Carry, requests_go_on_while_a_route_changes_its_deadline_and_its_service_hundreds_of_times) {
+  Mesh m(1);
+  m.box(0).late = [] { return 2ms; };
+  KeptConnection client(m);
+  std::chrono::microseconds first{}, last{};
+  constexpr int changes = 300;
+  for (int n = 1; n <= changes; ++n) {
+    auto plan = std::make_shared<creed::Plan>(*m.plan);
+    auto channel = std::make_shared<creed::Channel>(*m.plan->find("a.example", "/safe/x"));
+    channel->deadline += 1'000 * n, channel->aim = channel->deadline;
+    plan->hosts["a.example"]["/safe/"] = channel;
+    if (n % 2 == 0) plan->hosts["a.example"].erase("/safe/");  // dropped as the request is at work
+    client.send();
+    CHECK(m.until([&] { return m.box(0).arrivals == n; }));
+    const auto begun = node::steady::now();
+    m.carry(0).plan(plan);
+    m.carry(0).servers(m.roll, ambit::steady_now());
+    const auto took = std::chrono::duration_cast<std::chrono::microseconds>(node::steady::now() - begun);
+    (n <= 20 ? first : last) += n <= 20 || n > changes - 20 ? took : 0us;
+    CHECK_EQUAL(200, client.status());
+    m.carry(0).plan(m.plan);
+  }
+  CHECK(last < first + 20 * 5ms);  // of twenty changes: the event loop is not held up
+  CHECK_EQUAL(changes, m.runs());
+}
+
+// Nothing tells a client that only ends its sending from one that has closed, and for that one no server may
+// go on working.
+TEST(Carry, a_client_that_ends_its_sending_counts_as_gone) {
+  Mesh m(1);
+  m.box(0).late = [] { return 100ms; };
+  KeptConnection client(m);
+  client.send();
+  client.end_sending();
+  CHECK_EQUAL(0, client.status());
+  CHECK(m.box(0).arrivals <= 1);
+}
+
 // Else it is given up when the node's time is over, though its server is at work on it.
 TEST(Carry, a_node_that_is_about_to_end_takes_no_request_that_it_would_give_up) {
   Mesh m(1);
