--- a/src/ambit/carry.cpp
+++ b/src/ambit/carry.cpp
@@ -78,6 +78,16 @@
   std::shared_ptr<State> state_;
 };
 
+// How long a caller waits for its answer from the sending of its request: as it says, but no longer than the
+// route's deadline.
+micros remaining_of(const codec::Message& request, const creed::Channel& route) {
+  constexpr long long longest_ms = 600'000;
+  if (request.times("X-Remaining-Ms") == 0) return route.deadline;
+  const long long told_ms = codec::whole_number(request.header("X-Remaining-Ms"));
+  if (told_ms < 0) return route.deadline;
+  return std::min<micros>(route.deadline, std::min(told_ms, longest_ms) * 1000);
+}
+
 // What bodies take of this process's memory, while one is at work. Shared: one at rest may outlive its node.
 class Share {
  public:
@@ -244,8 +254,7 @@
     if (!error && rest) co_await read_out(*c);
     if (!error && !read) co_await c->see_out(out_limit);
     if (error || !stays) co_return;
-    if (const auto next = c->in.next();
-        next != codec::reading::unfinished && next != codec::reading::complete)
+    if (const auto next = c->next(); next != codec::reading::unfinished && next != codec::reading::complete)
       co_return;
   }
 }
@@ -273,10 +282,8 @@
     ++counts_.own_4xx;
     co_return own(404, "no route");
   }
-  const long long told = m.times("X-Remaining-Ms") > 0 ? codec::whole_number(m.header("X-Remaining-Ms")) : -1;
-  const micros left = told >= 0
-                          ? std::min<micros>(t->channel->deadline, micros(std::min(told, 600'000LL)) * 1000)
-                          : t->channel->deadline;
+  const micros elapsed = clock_.now() - clock_.of(c->message_arrived());
+  const micros left = remaining_of(m, *t->channel) - elapsed;
   if (left <= closing_margin) {
     ++counts_.refused;
     co_return own(503, "no time is left");
@@ -537,7 +544,8 @@
     parcel->target = m.target();
     std::string instance(m.header(instance_header));
     const bool probes = !m.header("X-Mesh-Probe").empty();
-    const micros left = std::max<long long>(0, codec::whole_number(m.header("X-Remaining-Ms"))) * 1000;
+    const micros told = std::max<long long>(0, codec::whole_number(m.header("X-Remaining-Ms"))) * 1000;
+    const micros left = std::max<micros>(0, told - (clock_.now() - clock_.of(c->message_arrived())));
     const gate::Gate::Asked asked = asked_by(m);
     const std::string_view listed = m.header("Connection");
     for (std::size_t i = 0; i < m.headers(); ++i) {
@@ -591,8 +599,7 @@
     error = co_await c->write(head, a.body, written);
     if (!error && rest) co_await read_out(*c);
     if (error || !stays) co_return;
-    if (const auto next = c->in.next();
-        next != codec::reading::unfinished && next != codec::reading::complete)
+    if (const auto next = c->next(); next != codec::reading::unfinished && next != codec::reading::complete)
       co_return;
   }
 }
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -133,14 +133,22 @@
 
 awaitable<reading> Connection::more(asio::error_code& error) {
   error = {};
+  const bool first = !in.begun();
   const auto [at, size] = in.room();
   const std::size_t came = co_await receive(at, size, error);
+  if (first) message_arrived_ = arrived_;
   if (!error) co_return in.take(came);
   const bool whole = error == asio::error::eof && in.begun() && in.ended() == reading::complete;
   if (whole) error = {};
   co_return whole ? reading::complete : reading::unfinished;
 }
 
+reading Connection::next() {
+  const reading behind = in.next();
+  message_arrived_ = arrived_;
+  return behind;
+}
+
 awaitable<reading> Connection::read(asio::error_code& error, std::size_t kept, std::size_t bytes_a_second,
                                     steady::duration patience) {
   struct Nudge {
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -82,6 +82,8 @@
                           steady::duration patience = {});
   // Reads once, what comes next of a message that has begun.
   awaitable<reading> more(asio::error_code& error);
+  // Drops the message that was read and looks at what came behind it.
+  reading next();
 
   // Tells the peer that no more comes, and drops what it still sends until it ends or the time is over: a
   // connection closed over unread bytes is reset, and what was written last goes with it.
@@ -89,6 +91,8 @@
 
   // When the last bytes that were read reached the machine, where the kernel tells; else when they were read.
   steady::time_point arrived() const { return arrived_; }
+  // When the first bytes of the present message reached the machine, likewise.
+  steady::time_point message_arrived() const { return message_arrived_; }
 
   tcp::socket socket;
   Message in;
@@ -102,7 +106,7 @@
   asio::steady_timer timer_;
   std::uint64_t round_ = 0;
   bool counted_ = true, ran_out_ = false;
-  steady::time_point arrived_{}, limit_{};
+  steady::time_point arrived_{}, message_arrived_{}, limit_{};
   steady::duration round_trip_{};
 };
 
--- a/tests/mesh/carry_test.cpp
+++ b/tests/mesh/carry_test.cpp
@@ -210,7 +210,8 @@
   }
 
   node::steady::duration patience = 4s;
-  bool breaks_off = false;  // the client closes after what it has sent
+  node::steady::duration before_body{};  // between a client's head and its body
+  bool breaks_off = false;               // the client closes after what it has sent
   bool until(const std::function<bool()>& is) {
     for (const auto late = node::steady::now() + 5s; !is() && node::steady::now() < late;)
       io.run_one_for(100ms);
@@ -228,7 +229,12 @@
           c->limit(node::steady::now() + patience);  // who gets no answer goes
           if (!co_await c->connect(calls_at())) {
             std::size_t written = 0;
-            co_await c->write(head, body, written);
+            if (before_body > 0s) {
+              co_await c->write(head, {}, written);
+              asio::steady_timer pause(io, before_body);
+              co_await pause.async_wait(asio::use_awaitable);
+            }
+            co_await c->write(before_body > 0s ? std::string_view() : head, body, written);
             if (breaks_off) {
               c->close();
               done = true;
@@ -607,6 +613,45 @@
   CHECK_EQUAL(1, m.runs());
 }
 
+TEST(Carry, the_time_of_a_request_runs_from_its_first_byte_also_while_its_body_comes) {
+  Mesh m(1, 2, 600);
+  m.box(0).answer = [](const codec::Message&) {
+    return std::string("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n");
+  };
+  m.before_body = 400ms;
+  const auto begun = std::chrono::steady_clock::now();
+  CHECK_EQUAL(504, m.post().status);
+  CHECK(std::chrono::steady_clock::now() - begun < 900ms);
+}
+
+TEST(Carry, the_time_of_a_request_on_a_kept_connection_does_not_run_from_an_earlier_one) {
+  Mesh m(1, 2, 600);
+  m.box(0).late = [] { return 300ms; };
+  std::vector<int> statuses;
+  bool done = false;
+  asio::co_spawn(
+      m.io,
+      [&]() -> awaitable<void> {
+        auto c = m.client();
+        asio::error_code error = co_await c->connect(m.calls_at());
+        for (int i = 0; i < 2 && !error; ++i) {
+          std::size_t written = 0;
+          error = co_await c->write(
+              fmt::format("GET /safe/x HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: k{}\r\n\r\n", i), {},
+              written);
+          if (!error && co_await c->read(error) == codec::reading::complete)
+            statuses.push_back(c->in.status());
+          c->next();
+          asio::steady_timer pause(m.io, 400ms);
+          co_await pause.async_wait(asio::use_awaitable);
+        }
+        done = true;
+      },
+      asio::detached);
+  CHECK(m.until([&] { return done; }));
+  CHECK(statuses == std::vector<int>({200, 200}));
+}
+
 TEST(Carry, proper_4xx_of_our_own_and_none_else) {
   Mesh m(1);
   CHECK_EQUAL(404, m.get("/none/x").status);
