--- a/src/gate/gate.h
+++ b/src/gate/gate.h
@@ -5,6 +5,7 @@
 #include <algorithm>
 #include <cstdint>
 #include <deque>
+#include <limits>
 #include <string>
 
 namespace robinpin::gate {
@@ -95,9 +96,7 @@
       return held::cold;
     if (at_work_ + coming_ >= b.conn_limit - 2) return held::crowded;  // a probe and one that is being closed
     // Long bodies that are still coming hold no slot: they meet only those that come as long.
-    if (asked.comes && coming_ > 0 && b.link > 0 &&
-        (coming_bytes_ + asked.bytes) / (bodies_part * b.link) * second + service_ > awaited(asked))
-      return held::crowded;
+    if (asked.comes && coming_ > 0 && b.link > 0 && link_crowded(b, asked)) return held::crowded;
     const int before = at_work_ + (asked.comes ? coming_ : 0);
     if (before >= server_.slots && foreseen(before) > patience(b, asked)) return held::crowded;
     return held::none;
@@ -109,8 +108,18 @@
   // late behind them.
   static double patience(const Bounds& b, const Asked& a) {
     if (a.deadline <= b.shortest) return foreseen_part * double(a.to_deadline);
-    const double own = foreseen_part * double(a.to_aim);
-    return b.shortest > 0 ? std::min(own, others_part * foreseen_part * double(b.shortest)) : own;
+    return std::min(foreseen_part * double(a.to_aim), most_beside_shortest(b, a));
+  }
+  // How long others may take up what those with the shortest deadline need, too.
+  static double most_beside_shortest(const Bounds& b, const Asked& a) {
+    if (b.shortest <= 0 || a.deadline <= b.shortest) return std::numeric_limits<double>::infinity();
+    return others_part * foreseen_part * double(b.shortest);
+  }
+  // Whether the bodies that are coming and this one would take up the link for too long: for this one to be
+  // in time, or for the requests with the shortest deadline, which come over the same link.
+  bool link_crowded(const Bounds& b, const Asked& a) const {
+    const double takes = (coming_bytes_ + a.bytes) / (bodies_part * b.link) * second;
+    return takes + service_ > std::min(awaited(a), most_beside_shortest(b, a));
   }
   // How long a body may take to come. Together those that come share this machine's link: more of them make
   // all late, and with them what else is to get through. One that is late already goes where there is little
--- a/tests/mesh/gate_test.cpp
+++ b/tests/mesh/gate_test.cpp
@@ -200,6 +200,21 @@
   CHECK_EQUAL(1, let_in(upload));
 }
 
+// Its link is shared: calls of 0.5 s behind a second of bodies would all be late.
+TEST(Gate, long_bodies_leave_time_on_the_link_for_the_requests_with_the_shortest_deadline) {
+  Gate g;
+  g.beat(0, server("a", 1), 0);
+  Gate::Bounds b;
+  b.link = 1e6, b.shortest = 500 * ms;
+  const Gate::Asked upload = {10 * second, 1'000 * ms, 10 * second, true, 60'000};
+  int let_in = 0;
+  for (; g.verdict(1, "a", b, upload) == held::none && let_in < 100; ++let_in)
+    g.sent(true), g.comes(upload.bytes);
+  CHECK_EQUAL(2, let_in);  // 0.12 MB of the 0.17 that come in half of 0.8 x 500 ms; 11 in 0.8 of its aim
+  const Gate::Asked shortest = {500 * ms, 400 * ms, 500 * ms, true, 60'000};
+  CHECK(held::none == g.verdict(1, "a", b, shortest));  // they have until their own aim
+}
+
 TEST(Gate, an_upload_cut_off_on_its_way_counts_for_its_second_at_a_cold_server) {
   Gate g;
   g.beat(0, server("a", 1), 60 * second);
