--- a/src/ambit/carry.cpp
+++ b/src/ambit/carry.cpp
@@ -88,6 +88,12 @@
   return std::min<micros>(route.deadline, std::min(told_ms, longest_ms) * 1000);
 }
 
+// By how much a caller gets its final answer before its time is over: the answer has a way to go.
+micros answer_margin(micros remaining) {
+  constexpr int part = 50;
+  return std::max(closing_margin, remaining / part);
+}
+
 // What bodies take of this process's memory, while one is at work. Shared: one at rest may outlive its node.
 class Share {
  public:
@@ -283,7 +289,8 @@
     co_return own(404, "no route");
   }
   const micros elapsed = clock_.now() - clock_.of(c->message_arrived());
-  const micros left = remaining_of(m, *t->channel) - elapsed;
+  const micros remaining = remaining_of(m, *t->channel);
+  const micros left = remaining - elapsed - answer_margin(remaining);
   if (left <= closing_margin) {
     ++counts_.refused;
     co_return own(503, "no time is left");
@@ -323,8 +330,8 @@
   taken.allowed.two_at_once = false;
   const double bytes = source ? double(m.told().value_or(Source::kept)) : double(m.body().size());
   taken.allowed.crossing = std::clamp(bytes / usual_bytes, 1.0, most_crossing);
-  t->aim_at =
-      clock_.now() + std::max<micros>(0, t->channel->aim - std::max<micros>(0, t->channel->deadline - left));
+  const micros waited = t->channel->deadline - remaining + elapsed;
+  t->aim_at = clock_.now() + std::max<micros>(0, t->channel->aim - waited);
   t->visit =
       t->desk->take(fmt::format("{}", ++number_), row, -1, clock_.now(), left, 0, std::move(taken), {});
   co_return co_await run(c, t, gone);
--- a/tests/mesh/carry_test.cpp
+++ b/tests/mesh/carry_test.cpp
@@ -613,6 +613,15 @@
   CHECK_EQUAL(1, m.runs());
 }
 
+TEST(Carry, a_callers_final_answer_leaves_before_its_time_is_over) {
+  Mesh m(1);
+  m.box(0).answer = [](const codec::Message&) {
+    return std::string("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n");
+  };
+  m.patience = 2s;  // as long as it tells
+  CHECK_EQUAL(504, m.post().status);
+}
+
 TEST(Carry, the_time_of_a_request_runs_from_its_first_byte_also_while_its_body_comes) {
   Mesh m(1, 2, 600);
   m.box(0).answer = [](const codec::Message&) {
