--- a/src/ambit/carry.cpp
+++ b/src/ambit/carry.cpp
@@ -79,6 +79,22 @@
   std::shared_ptr<State> state_;
 };
 
+// How long a caller waits for its answer from the sending of its request: as it says, but no longer than the
+// route's deadline.
+micros remaining_of(const codec::Message& request, const creed::Channel& route) {
+  constexpr long long longest_ms = 600'000;
+  if (request.times("X-Remaining-Ms") == 0) return route.deadline;
+  const long long told_ms = codec::whole_number(request.header("X-Remaining-Ms"));
+  if (told_ms < 0) return route.deadline;
+  return std::min<micros>(route.deadline, std::min(told_ms, longest_ms) * 1000);
+}
+
+// By how much a caller gets its final answer before its time is over: the answer has a way to go.
+micros answer_margin(micros remaining) {
+  constexpr int part = 50;
+  return std::max(closing_margin, remaining / part);
+}
+
 // Adds to a total while it lives. The total is shared: a suspended coroutine may outlive its node.
 class ScopedCount {
  public:
@@ -258,8 +274,7 @@
     if (!error && rest) co_await read_out(*c);
     if (!error && !stays) co_await c->see_out(out_limit);
     if (error || !stays) co_return;
-    if (const auto next = c->in.next();
-        next != codec::reading::unfinished && next != codec::reading::complete)
+    if (const auto next = c->next(); next != codec::reading::unfinished && next != codec::reading::complete)
       co_return;
   }
 }
@@ -287,10 +302,9 @@
     ++counts_.own_4xx;
     co_return own(404, "no route");
   }
-  const long long told = m.times("X-Remaining-Ms") > 0 ? codec::whole_number(m.header("X-Remaining-Ms")) : -1;
-  const micros left = told >= 0
-                          ? std::min<micros>(t->channel->deadline, micros(std::min(told, 600'000LL)) * 1000)
-                          : t->channel->deadline;
+  const micros elapsed = clock_.now() - clock_.of(c->message_arrived());
+  const micros remaining = remaining_of(m, *t->channel);
+  const micros left = remaining - elapsed - answer_margin(remaining);
   if (left <= closing_margin) {
     ++counts_.refused;
     co_return own(503, "no time is left");
@@ -330,8 +344,8 @@
   taken.allowed.two_at_once = false;
   const double bytes = source ? double(m.told().value_or(Source::kept)) : double(m.body().size());
   taken.allowed.crossing = std::clamp(bytes / usual_bytes, 1.0, most_crossing);
-  t->aim_at =
-      clock_.now() + std::max<micros>(0, t->channel->aim - std::max<micros>(0, t->channel->deadline - left));
+  const micros waited = t->channel->deadline - remaining + elapsed;
+  t->aim_at = clock_.now() + std::max<micros>(0, t->channel->aim - waited);
   t->visit =
       t->desk->take(fmt::format("{}", ++number_), row, -1, clock_.now(), left, 0, std::move(taken), {});
   co_return co_await run(c, t, gone);
@@ -551,7 +565,8 @@
     parcel->target = m.target();
     std::string instance(m.header(instance_header));
     const bool probes = !m.header("X-Mesh-Probe").empty();
-    const micros left = std::max<long long>(0, codec::whole_number(m.header("X-Remaining-Ms"))) * 1000;
+    const micros told = std::max<long long>(0, codec::whole_number(m.header("X-Remaining-Ms"))) * 1000;
+    const micros left = std::max<micros>(0, told - (clock_.now() - clock_.of(c->message_arrived())));
     const gate::Gate::Asked asked = asked_by(m);
     const std::string_view listed = m.header("Connection");
     for (std::size_t i = 0; i < m.headers(); ++i) {
@@ -604,8 +619,7 @@
     error = co_await c->write(head, a.body, written);
     if (!error && rest) co_await read_out(*c);
     if (error || !stays) co_return;
-    if (const auto next = c->in.next();
-        next != codec::reading::unfinished && next != codec::reading::complete)
+    if (const auto next = c->next(); next != codec::reading::unfinished && next != codec::reading::complete)
       co_return;
   }
 }
