--- a/src/model/box.h
+++ b/src/model/box.h
@@ -171,7 +171,7 @@
   bool up_ = true, draining_ = false, hangs_ = false, refusing_ = false, choked_ = false;
   double slow_ = 1, taken_ = 0, failing_ = 0;
   std::map<int, std::pair<double, double>> dear_;
-  double crowd_ = 0, busy_ = 0, idle_since_busy_ = 0;
+  double crowd_ = 0, busy_ = 0;
   micros looked_ = 0, calm_since_ = -1, choked_at_ = 0;
   double latency_ = 0;
   std::deque<std::tuple<micros, double, std::string>> pressure_;
