--- a/src/codec/http.cpp
+++ b/src/codec/http.cpp
@@ -223,7 +223,7 @@
 
 bool Message::clean() const {
   static constexpr std::string_view marks = "!#$%&'*+-.^_`|~";
-  const auto in_name = [&](char c) { return letter(c) || marks.find(c) != marks.npos; };
+  const auto in_name = [&](char c) { return letter(c) || marks.find(c) != std::string_view::npos; };
   const auto visible = [](char c) { return c > ' ' && c < 127; };
   const auto printed = [&](char c) { return visible(c) || c == ' ' || c == '\t' || std::uint8_t(c) > 127; };
   const auto all = [](std::string_view s, auto fits) { return std::all_of(s.begin(), s.end(), fits); };
--- a/src/config/read.cpp
+++ b/src/config/read.cpp
@@ -136,7 +136,7 @@
       if (!t.get("name"))
         fault(r.at, in(where, "name"), "is missing; name the route, for its log and counts");
       if (const std::string& p = r.path.value;
-          !p.empty() && (p[0] != '/' || p.find_first_of("?# ") != p.npos))
+          !p.empty() && (p[0] != '/' || p.find_first_of("?# ") != std::string::npos))
         fault(r.path.at, in(where, "path"),
               "must be a path that begins with / and has no query, as \"/api\"");
       if (const std::string& m = r.method.value;
