--- a/tests/mesh/processes.h
+++ b/tests/mesh/processes.h
@@ -140,6 +140,11 @@
   void wake(int n) { daemons_.at(n)->tell(SIGCONT); }
   bool running(int n) { return daemons_.contains(n) && daemons_.at(n)->running(); }
 
+  std::string ip(int n) const { return fmt::format("{}.{}", net_, n); }
+  int control_port() const { return control_; }
+  int inner_port() const { return inner_; }
+  const std::vector<int>& seeds() const { return seeds_; }
+  const std::filesystem::path& folder() const { return folder_; }
   std::filesystem::path disk(int n) const { return folder_ / fmt::format("disk-{}", n); }
   void empty(int n) { std::filesystem::remove_all(disk(n)); }
   void copy(int n) {
@@ -200,7 +205,6 @@
   awaitable<bool> eventually(steady::duration limit, const Condition&& temporary) = delete;
 
  private:
-  std::string ip(int n) const { return fmt::format("{}.{}", net_, n); }
   std::filesystem::path copy_of(int n) const { return folder_ / fmt::format("copy-{}", n); }
   bool free() {
     for (int n = 1; n <= most; ++n) {
