--- a/tests/mesh/configuration_changes_test.cpp
+++ b/tests/mesh/configuration_changes_test.cpp
@@ -443,7 +443,7 @@
     const auto ended = steady::now();
     if (got != codec::reading::complete) {
       judge_cut(s, fmt::format("{} of {} at {}", id, name, s.outbound().address().to_string()), sent, ended,
-                whole && kept, c->in.status() != 0, c->ran_out(), arrived_.contains(id));
+                whole && kept, c->in.begun(), c->ran_out(), arrived_.contains(id));
       co_return nullptr;
     }
     const int status = c->in.status();
