--- a/bench/trove_figures.cpp
+++ b/bench/trove_figures.cpp
@@ -11,11 +11,11 @@
 #include <string>
 #include <vector>
 
-#include "../src/trove/trove.h"
+#include "../src/trove/leveldb_store.h"
 
 namespace {
 
-using robinpin::trove::Trove;
+using robinpin::trove::KeyValueStore;
 using Clock = std::chrono::steady_clock;
 double since(Clock::time_point begun) {
   return std::chrono::duration<double, std::milli>(Clock::now() - begun).count();
@@ -32,23 +32,24 @@
 auto must(const F& f) {
   return boost::leaf::try_handle_all(
       f,
-      [](const robinpin::trove::Trouble& t) -> std::decay_t<decltype(f().value())> {
-        std::fprintf(stderr, "%s %s: %s\n", t.step.c_str(), t.peer.c_str(), t.why.c_str());
+      [](const robinpin::trove::Error& t) -> std::decay_t<decltype(f().value())> {
+        std::fprintf(stderr, "%s %s: %s\n", robinpin::trove::to_string(t.step), t.peer.c_str(),
+                     t.reason.c_str());
         std::exit(1);
       },
       []() -> std::decay_t<decltype(f().value())> { std::exit(1); });
 }
-std::unique_ptr<Trove> opened(const std::string& folder) {
-  return must([&] { return robinpin::trove::open(folder); });
+std::unique_ptr<KeyValueStore> opened(const std::string& folder) {
+  return must([&] { return robinpin::trove::open_leveldb_store(folder); });
 }
-void put(Trove& t, const Trove::Batch& batch, Trove::lasting how) {
+void put(KeyValueStore& t, const KeyValueStore::WriteBatch& batch, KeyValueStore::Durability how) {
   must([&]() -> robinpin::trove::result<int> {
-    BOOST_LEAF_CHECK(t.put(batch, how));
+    BOOST_LEAF_CHECK(t.write(batch, how));
     return 0;
   });
 }
-std::uint64_t bytes(Trove& t) {
-  return must([&] { return t.bytes(); });
+std::uint64_t bytes(KeyValueStore& t) {
+  return must([&] { return t.size_on_disk(); });
 }
 
 std::mt19937 chance(1);
@@ -60,7 +61,7 @@
 }
 std::string name(std::size_t i) { return "i/c/route-" + std::to_string(i); }
 
-void latency(const std::string& folder, Trove::lasting how, const char* what, int puts) {
+void latency(const std::string& folder, KeyValueStore::Durability how, const char* what, int puts) {
   auto t = opened(folder);
   std::vector<double> us;
   for (int i = 0; i < puts; ++i) {
@@ -79,19 +80,20 @@
 int main(int argc, char** argv) {
   if (argc != 2) return std::fprintf(stderr, "trove_figures FOLDER, which is to be empty or not there\n"), 2;
   const std::string folder = argv[1];
-  latency(folder + "/synced", Trove::lasting::synced, "synced", 5'000);
-  latency(folder + "/in-time", Trove::lasting::in_time, "in time", 50'000);
+  latency(folder + "/synced", KeyValueStore::Durability::synced, "synced", 5'000);
+  latency(folder + "/in-time", KeyValueStore::Durability::unsynced, "in time", 50'000);
   for (const std::size_t records : {1'000, 20'000, 100'000}) {
     const std::string at = folder + "/" + std::to_string(records);
     {
       auto t = opened(at);
-      for (std::size_t i = 0; i < records; ++i) put(*t, {{{name(i), text()}}, {}}, Trove::lasting::in_time);
+      for (std::size_t i = 0; i < records; ++i)
+        put(*t, {{{name(i), text()}}, {}}, KeyValueStore::Durability::unsynced);
     }
     const double before = resident();
     const auto begun = Clock::now();
     auto t = opened(at);
     const double ms = since(begun);
-    const auto all = must([&] { return t->all(); });
+    const auto all = must([&] { return t->read_all(); });
     std::printf(
         "%zu records: open %.1f ms, then all %.1f ms, %.2f MB on disk, %.1f MB more resident with all of "
         "them\n",
@@ -103,13 +105,13 @@
     const double before = resident();
     double most_resident = 0;
     for (std::size_t i = 1; i <= 100'000; ++i) {
-      Trove::Batch batch;
+      KeyValueStore::WriteBatch batch;
       const std::string n = name(chance() % 2'000);
       if (chance() % 3 == 0)
-        batch.drop.push_back(n);
+        batch.removals.push_back(n);
       else
-        batch.put.emplace_back(n, text());
-      put(*t, batch, i % 10 == 0 ? Trove::lasting::synced : Trove::lasting::in_time);
+        batch.puts.emplace_back(n, text());
+      put(*t, batch, i % 10 == 0 ? KeyValueStore::Durability::synced : KeyValueStore::Durability::unsynced);
       if (i % 100 == 0)
         most = std::max(most, bytes(*t)), most_resident = std::max(most_resident, resident() - before);
       if (i % 25'000 == 0)
@@ -118,7 +120,7 @@
             double(bytes(*t)) / 1e6, double(most) / 1e6, most_resident);
     }
     std::size_t standing = 0;
-    for (const auto& [k, v] : must([&] { return t->all(); })) standing += k.size() + v.size();
+    for (const auto& [k, v] : must([&] { return t->read_all(); })) standing += k.size() + v.size();
     std::printf("standing: %.2f MB\n", double(standing) / 1e6);
     t.reset();
     const auto begun = Clock::now();
@@ -127,9 +129,9 @@
     // Names that are set once and let go of for good, as months of them would.
     most = 0;
     for (std::size_t i = 0; i < 200'000; ++i) {
-      Trove::Batch batch{{{name(10'000 + i), text()}}, {}};
-      if (i >= 1'000) batch.drop.push_back(name(10'000 + i - 1'000));
-      put(*t, batch, Trove::lasting::in_time);
+      KeyValueStore::WriteBatch batch{{{name(10'000 + i), text()}}, {}};
+      if (i >= 1'000) batch.removals.push_back(name(10'000 + i - 1'000));
+      put(*t, batch, KeyValueStore::Durability::unsynced);
       if (i % 100 == 0) most = std::max(most, bytes(*t));
     }
     std::printf("200000 names set once and let go of 1000 later: %.2f MB on disk, at most %.2f\n",
--- a/src/ground/ground.cpp
+++ b/src/ground/ground.cpp
@@ -74,9 +74,9 @@
   rapidjson::Document doc;
   if (doc.Parse(text.data(), text.size()).HasParseError())
     return boost::leaf::new_error(
-        trove::Trouble{"parse", "settings",
-                       fmt::format("/: no JSON: {} at byte {}\n",
-                                   rapidjson::GetParseError_En(doc.GetParseError()), doc.GetErrorOffset())});
+        trove::Error{trove::Error::Step::parse, "settings",
+                     fmt::format("/: no JSON: {} at byte {}\n",
+                                 rapidjson::GetParseError_En(doc.GetParseError()), doc.GetErrorOffset())});
   Reading r{doc, {}};
   Settings s;
   if (!doc.IsObject()) {
@@ -135,7 +135,8 @@
     r.number("/saturation/file_limit", files, 64);
     s.memory_mb = int(memory), s.file_limit = int(files);
   }
-  if (!r.faults.empty()) return boost::leaf::new_error(trove::Trouble{"read", "settings", r.faults});
+  if (!r.faults.empty())
+    return boost::leaf::new_error(trove::Error{trove::Error::Step::read, "settings", r.faults});
   return s;
 }
 
@@ -147,12 +148,12 @@
 trove::result<Settings> load(const std::string& path, bool core) {
   const std::string file = path_told(path);
   if (file.empty())
-    return boost::leaf::new_error(
-        trove::Trouble{"read", "settings", "ROBINPIN_CONFIG names no file, and none is given\n"});
+    return boost::leaf::new_error(trove::Error{trove::Error::Step::read, "settings",
+                                               "ROBINPIN_CONFIG names no file, and none is given\n"});
   std::ifstream in(file, std::ios::binary);
   std::stringstream text;
   text << in.rdbuf();
-  if (!in) return boost::leaf::new_error(trove::Trouble{"open", file, "can't be read\n"});
+  if (!in) return boost::leaf::new_error(trove::Error{trove::Error::Step::open, file, "can't be read\n"});
   return read(text.str(), core);
 }
 
--- a/src/ground/ground.h
+++ b/src/ground/ground.h
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-#include "../trove/trove.h"
+#include "../trove/error.h"
 
 namespace robinpin::ground {
 
--- a/src/locus/disk.cpp
+++ b/src/locus/disk.cpp
@@ -35,10 +35,10 @@
 
 }  // namespace
 
-trove::result<Kept> kept(const std::vector<trove::Trove::Pair>& held) {
+trove::result<Kept> kept(const std::vector<trove::KeyValueStore::Entry>& held) {
   Kept k;
   const auto damaged = [](const std::string& name) {
-    return boost::leaf::new_error(trove::Trouble{"damage", name, "can't be read"});
+    return boost::leaf::new_error(trove::Error{trove::Error::Step::corruption, name, "can't be read"});
   };
   for (const auto& [name, text] : held) {
     if (name == own_name) {
@@ -65,15 +65,17 @@
   return items;
 }
 
-void put(trove::Trove::Batch& batch, const Own& own) { batch.put.emplace_back(own_name, text_of(own)); }
-void put(trove::Trove::Batch& batch, const std::string& name, const consensus::Slot& slot) {
-  batch.put.emplace_back(std::string(slot_mark) + name, text_of(slot));
+void put(trove::KeyValueStore::WriteBatch& batch, const Own& own) {
+  batch.puts.emplace_back(own_name, text_of(own));
 }
-void put(trove::Trove::Batch& batch, const creed::Item& item) {
-  batch.put.emplace_back(std::string(item_mark) + item.name, text_of(item));
+void put(trove::KeyValueStore::WriteBatch& batch, const std::string& name, const consensus::Slot& slot) {
+  batch.puts.emplace_back(std::string(slot_mark) + name, text_of(slot));
 }
-void drop(trove::Trove::Batch& batch, const std::string& item) {
-  batch.drop.push_back(std::string(item_mark) + item);
+void put(trove::KeyValueStore::WriteBatch& batch, const creed::Item& item) {
+  batch.puts.emplace_back(std::string(item_mark) + item.name, text_of(item));
+}
+void drop(trove::KeyValueStore::WriteBatch& batch, const std::string& item) {
+  batch.removals.push_back(std::string(item_mark) + item);
 }
 
 }  // namespace robinpin::locus
--- a/src/locus/disk.h
+++ b/src/locus/disk.h
@@ -8,7 +8,7 @@
 
 #include "../consensus/voter.h"
 #include "../creed/creed.h"
-#include "../trove/trove.h"
+#include "../trove/key_value_store.h"
 #include "wire.h"
 
 namespace robinpin::locus {
@@ -37,15 +37,16 @@
   std::vector<creed::Item> items;
 };
 
-// Errors: "damage": a record can't be read, or there are some without the one that says whose they are.
-trove::result<Kept> kept(const std::vector<trove::Trove::Pair>& held);
+// Errors: Step::corruption: a record can't be read, or there are some without the one that says whose they
+// are.
+trove::result<Kept> kept(const std::vector<trove::KeyValueStore::Entry>& held);
 
 std::string packed(const std::vector<creed::Item>& items);
 std::optional<std::vector<creed::Item>> unpacked(std::string_view text);
 
-void put(trove::Trove::Batch& batch, const Own& own);
-void put(trove::Trove::Batch& batch, const std::string& name, const consensus::Slot& slot);
-void put(trove::Trove::Batch& batch, const creed::Item& item);
-void drop(trove::Trove::Batch& batch, const std::string& item);
+void put(trove::KeyValueStore::WriteBatch& batch, const Own& own);
+void put(trove::KeyValueStore::WriteBatch& batch, const std::string& name, const consensus::Slot& slot);
+void put(trove::KeyValueStore::WriteBatch& batch, const creed::Item& item);
+void drop(trove::KeyValueStore::WriteBatch& batch, const std::string& item);
 
 }  // namespace robinpin::locus
--- a/src/locus/keep.cpp
+++ b/src/locus/keep.cpp
@@ -48,7 +48,7 @@
 
 }  // namespace
 
-Keep::Keep(Machine self, creed::Creed& creed, rumour::Rumour& rumour, trove::Trove& trove,
+Keep::Keep(Machine self, creed::Creed& creed, rumour::Rumour& rumour, trove::KeyValueStore& trove,
            std::uint64_t chance, Spans spans)
     : self_(self),
       creed_(creed),
@@ -62,11 +62,11 @@
 trove::result<void> Keep::begin(std::int64_t now, bool first_start, const std::vector<Machine>& seeds) {
   begun_ = now;
   seeds_ = seeds;
-  BOOST_LEAF_AUTO(held, trove_.all());
+  BOOST_LEAF_AUTO(held, trove_.read_all());
   BOOST_LEAF_AUTO(disk, kept(held));
   consensus::Memory memory;
   bool known = false, changed = true;
-  trove::Trove::Batch batch;
+  trove::KeyValueStore::WriteBatch batch;
   if (disk.own) {
     for (const auto& i : disk.items) creed_.take(i);
     creed_.floor(disk.own->floor);
@@ -82,7 +82,7 @@
         if (const Value& v = it->second.value; v.version == holds_.number && v.by == holds_.by) last_ = v;
     } else {  // copied or moved: what it holds was settled, but it is another copy
       memory.store = hex(chance_());
-      for (const auto& [name, slot] : disk.slots) batch.drop.push_back(std::string(slot_mark) + name);
+      for (const auto& [name, slot] : disk.slots) batch.removals.push_back(std::string(slot_mark) + name);
     }
   } else if (const bool founds = first_start && std::find(seeds.begin(), seeds.end(), self_) != seeds.end();
              founds) {
@@ -92,7 +92,8 @@
     for (const Machine m : std::set<Machine>(seeds.begin(), seeds.end()))
       v.now.push_back({text_of(m), founder(m), text_of(m)});
     voter_.emplace(std::move(memory), false);
-    if (const auto change = voter_->found(v); !change || !put(*change, trove::Trove::lasting::synced))
+    if (const auto change = voter_->found(v);
+        !change || !put(*change, trove::KeyValueStore::Durability::synced))
       return boost::leaf::new_error(*failed_);
     changed = false;
   } else {
@@ -102,7 +103,8 @@
   known_ = holds_.number;
   if (changed) {
     locus::put(batch, own());
-    if (!put(std::move(batch), trove::Trove::lasting::synced)) return boost::leaf::new_error(*failed_);
+    if (!put(std::move(batch), trove::KeyValueStore::Durability::synced))
+      return boost::leaf::new_error(*failed_);
   }
   cores_changed(now);
   rumour_.whole(false);
@@ -117,21 +119,21 @@
   return own;
 }
 
-bool Keep::put(trove::Trove::Batch batch, trove::Trove::lasting how) {
+bool Keep::put(trove::KeyValueStore::WriteBatch batch, trove::KeyValueStore::Durability how) {
   if (failed_) return false;
   return boost::leaf::try_handle_all(
       [&]() -> trove::result<bool> {
-        BOOST_LEAF_CHECK(trove_.put(batch, how));
+        BOOST_LEAF_CHECK(trove_.write(batch, how));
         return true;
       },
-      [&](const trove::Trouble& t) { return failed_ = t, false; },
+      [&](const trove::Error& t) { return failed_ = t, false; },
       [&] {
-        return failed_ = trove::Trouble{"sync", "trove", "unknown"}, false;
+        return failed_ = trove::Error{trove::Error::Step::sync, "trove", "unknown"}, false;
       });
 }
 
-bool Keep::put(const consensus::Change& change, trove::Trove::lasting how) {
-  trove::Trove::Batch batch;
+bool Keep::put(const consensus::Change& change, trove::KeyValueStore::Durability how) {
+  trove::KeyValueStore::WriteBatch batch;
   locus::put(batch, own());
   if (!change.name.empty()) locus::put(batch, change.name, change.slot);
   return put(std::move(batch), how);
@@ -139,7 +141,7 @@
 
 void Keep::told(std::int64_t now, const Voters& voters) {
   if (const auto change = voter_->told(voters)) {
-    put(*change, trove::Trove::lasting::synced);
+    put(*change, trove::KeyValueStore::Durability::synced);
     cores_changed(now);
   }
 }
@@ -157,15 +159,16 @@
 
 // Of an older or copied disk: what it holds was settled once, but it is no copy that others may count on.
 void Keep::become(std::string store) {
-  trove::Trove::Batch batch;
-  for (const auto& [name, slot] : voter_->memory().slots) batch.drop.push_back(std::string(slot_mark) + name);
+  trove::KeyValueStore::WriteBatch batch;
+  for (const auto& [name, slot] : voter_->memory().slots)
+    batch.removals.push_back(std::string(slot_mark) + name);
   consensus::Memory memory;
   memory.store = std::move(store);
   memory.voters = voters();
   voter_.emplace(std::move(memory), false);
   said_.clear();
   locus::put(batch, own());
-  put(std::move(batch), trove::Trove::lasting::synced);
+  put(std::move(batch), trove::KeyValueStore::Durability::synced);
 }
 
 std::uint64_t Keep::accepted() const {
@@ -321,7 +324,7 @@
 bool Keep::apply(const Value& value, Outbox& out) {
   auto items = unpacked(value.text);
   if (!items) return false;
-  trove::Trove::Batch batch;
+  trove::KeyValueStore::WriteBatch batch;
   std::vector<creed::Item> news;
   for (creed::Item& i : *items) {
     i.at = value.version;
@@ -338,7 +341,7 @@
   locus::put(batch, own());
   // In time: until it lasts, the register of a majority has it, and whoever accepts the next one syncs this
   // with it.
-  if (put(std::move(batch), trove::Trove::lasting::in_time)) rumour_.spread(news, out);
+  if (put(std::move(batch), trove::KeyValueStore::Durability::unsynced)) rumour_.spread(news, out);
   return true;
 }
 
@@ -436,7 +439,7 @@
   Chase c = std::move(*chase_);
   chase_.reset();
   if (holds.number <= holds_.number) return;
-  trove::Trove::Batch batch;
+  trove::KeyValueStore::WriteBatch batch;
   if (c.snapshot) {
     std::set<std::string_view> there;
     for (const auto& i : c.items) there.insert(i.name);
@@ -456,7 +459,7 @@
   last_ = {};
   known_ = std::max(known_, holds_.number);
   locus::put(batch, own());
-  if (put(std::move(batch), trove::Trove::lasting::in_time) && news.size() <= spread_at_most)
+  if (put(std::move(batch), trove::KeyValueStore::Durability::unsynced) && news.size() <= spread_at_most)
     rumour_.spread(news, out);
 }
 
@@ -496,7 +499,8 @@
 // Up to where another's store was seen: a copy of it from before can't pass for it. In time: a majority would
 // have to lose it with the power, beside the disk that was put back.
 void Keep::saw(const std::string& store, std::uint64_t counter) {
-  if (const auto change = voter_->saw(store, counter)) put(*change, trove::Trove::lasting::in_time);
+  if (const auto change = voter_->saw(store, counter))
+    put(*change, trove::KeyValueStore::Durability::unsynced);
 }
 
 void Keep::heard_ask(std::int64_t now, Machine from, const Asking& a, Outbox& out) {
@@ -519,7 +523,7 @@
   } else {
     const auto epoch = voters().version;
     auto heard = voter_->ask(ask);
-    if (heard.change && !put(*heard.change, trove::Trove::lasting::synced))
+    if (heard.change && !put(*heard.change, trove::KeyValueStore::Durability::synced))
       return;  // never answered before it lasts
     if (voters().version != epoch) cores_changed(now);
     answer.reply = std::move(heard.reply);
@@ -647,7 +651,7 @@
     if (voter_->standing() == verdict::older && !failed_)
       become(hex(chance_()));
     else if (returned && voter_->standing() == verdict::yes)
-      put(voter_->lives(), trove::Trove::lasting::synced);
+      put(voter_->lives(), trove::KeyValueStore::Durability::synced);
   }
   saw(b.store, b.counter);
   if (b.answer) {
--- a/src/locus/keep.h
+++ b/src/locus/keep.h
@@ -19,7 +19,7 @@
 #include "../consensus/voter.h"
 #include "../creed/creed.h"
 #include "../rumour/rumour.h"
-#include "../trove/trove.h"
+#include "../trove/key_value_store.h"
 #include "disk.h"
 #include "judge.h"
 #include "seats.h"
@@ -48,8 +48,8 @@
 
   using Done = std::function<void(Outcome)>;
 
-  Keep(Machine self, creed::Creed& creed, rumour::Rumour& rumour, trove::Trove& trove, std::uint64_t chance,
-       Spans spans = {});
+  Keep(Machine self, creed::Creed& creed, rumour::Rumour& rumour, trove::KeyValueStore& trove,
+       std::uint64_t chance, Spans spans = {});
 
   // What the disk holds is taken on. An empty one is a founder's at the system's first start, else it has to
   // be taken in by the others. Errors: the disk can't be read, or written.
@@ -73,7 +73,7 @@
   std::uint64_t number() const { return holds_.number; }
   std::size_t orders() const { return orders_.size(); }
   // The disk has failed: nothing may be acknowledged any more.
-  const std::optional<trove::Trouble>& failed() const { return failed_; }
+  const std::optional<trove::Error>& failed() const { return failed_; }
 
   struct Peer {  // another core machine, as its last word and its last answer told
     Beat told;
@@ -143,8 +143,8 @@
   void beat(std::int64_t now, Outbox& out, bool news);  // news: not to be answered
   Beat own_beat(std::int64_t now, Machine to);
   Own own() const;
-  bool put(trove::Trove::Batch batch, trove::Trove::lasting how);
-  bool put(const consensus::Change& change, trove::Trove::lasting how);
+  bool put(trove::KeyValueStore::WriteBatch batch, trove::KeyValueStore::Durability how);
+  bool put(const consensus::Change& change, trove::KeyValueStore::Durability how);
   void told(std::int64_t now, const consensus::Voters& voters);
   void saw(const std::string& store, std::uint64_t counter);
   void cores_changed(std::int64_t now);
@@ -160,7 +160,7 @@
   const Machine self_;
   creed::Creed& creed_;
   rumour::Rumour& rumour_;
-  trove::Trove& trove_;
+  trove::KeyValueStore& trove_;
   const Spans spans_;
   std::mt19937_64 chance_;
   const std::uint64_t life_;    // drawn
@@ -188,7 +188,7 @@
       said_;  // asks that were answered lately, and the answers: one comes again
   Parcels parcels_;
   bool leaving_ = false, can_hand_over_ = false;
-  std::optional<trove::Trouble> failed_;
+  std::optional<trove::Error> failed_;
 };
 
 }  // namespace robinpin::locus
--- a/src/mesh/ambit.cpp
+++ b/src/mesh/ambit.cpp
@@ -250,8 +250,9 @@
 int run_role(const std::function<trove::result<int>()>& role) {
   return boost::leaf::try_handle_all(
       role,
-      [](const trove::Trouble& t) {
-        fmt::print(stderr, "robinpin: {} {}: {}{}", t.step, t.peer, t.why, t.why.ends_with('\n') ? "" : "\n");
+      [](const trove::Error& t) {
+        fmt::print(stderr, "robinpin: {} {}: {}{}", trove::to_string(t.step), t.peer, t.reason,
+                   t.reason.ends_with('\n') ? "" : "\n");
         return 1;
       },
       [](const std::exception& e) {
--- a/src/mesh/command.cpp
+++ b/src/mesh/command.cpp
@@ -11,6 +11,7 @@
 #include "../locus/disk.h"
 #include "../log/log.h"
 #include "../span/span.h"
+#include "../trove/offline_reader.h"
 #include "role.h"
 
 namespace robinpin::mesh {
@@ -25,8 +26,8 @@
         fmt::print("{}: good, {} in {}\n", ground::path_told(path), s.node, s.zone);
         return good;
       },
-      [](const trove::Trouble& t) {
-        fmt::print(stderr, "{}: {}", t.peer, t.why);
+      [](const trove::Error& t) {
+        fmt::print(stderr, "{}: {}", t.peer, t.reason);
         return faulty;
       },
       [] { return faulty; });
@@ -41,20 +42,20 @@
 }
 
 // What a core's store holds while its process is stopped.
-int told_of(const trove::Look& look, bool items) {
-  for (const auto& d : look.damage) fmt::print("damaged: {}\n", d);
+int told_of(const trove::OfflineContents& look, bool items) {
+  for (const auto& d : look.corruption) fmt::print("damaged: {}\n", d);
   return boost::leaf::try_handle_all(
       [&]() -> trove::result<int> {
-        BOOST_LEAF_AUTO(kept, locus::kept(look.pairs));
+        BOOST_LEAF_AUTO(kept, locus::kept(look.entries));
         if (!kept.own) {
-          fmt::print("empty: {} bytes\n", look.bytes);
-          return look.damage.empty() ? good : faulty;
+          fmt::print("empty: {} bytes\n", look.size_on_disk);
+          return look.corruption.empty() ? good : faulty;
         }
         const locus::Own& own = *kept.own;
         std::size_t dropped = 0;
         for (const auto& i : kept.items) dropped += i.dropped;
         fmt::print("store {} of {}, counter {}, {} bytes\n", own.store, span::text_of(own.machine),
-                   own.counter, look.bytes);
+                   own.counter, look.size_on_disk);
         fmt::print("number {} by {}, floor {}; {} items, {} dropped\n", own.holds.number,
                    own.holds.by.empty() ? "nobody" : own.holds.by, own.floor, kept.items.size() - dropped,
                    dropped);
@@ -71,10 +72,10 @@
           if (items)
             fmt::print("{} {:08x} at {}{} {}\n", i.name, i.version, i.at, i.dropped ? " dropped" : "",
                        i.text);
-        return look.damage.empty() ? good : faulty;
+        return look.corruption.empty() ? good : faulty;
       },
-      [](const trove::Trouble& t) {
-        fmt::print("damaged: {} {}: {}\n", t.step, t.peer, t.why);
+      [](const trove::Error& t) {
+        fmt::print("damaged: {} {}: {}\n", trove::to_string(t.step), t.peer, t.reason);
         return faulty;
       },
       [] { return faulty; });
@@ -98,11 +99,11 @@
     }
     return boost::leaf::try_handle_all(
         [&]() -> trove::result<int> {
-          BOOST_LEAF_AUTO(look, trove::look(told.pos[0]));
+          BOOST_LEAF_AUTO(look, trove::read_offline(told.pos[0]));
           return told_of(look, bool(told["items"]));
         },
-        [](const trove::Trouble& t) {
-          fmt::print(stderr, "robinpin store: {} {}: {}\n", t.step, t.peer, t.why);
+        [](const trove::Error& t) {
+          fmt::print(stderr, "robinpin store: {} {}: {}\n", trove::to_string(t.step), t.peer, t.reason);
           return faulty;
         },
         [] { return faulty; });
--- a/src/mesh/locus.cpp
+++ b/src/mesh/locus.cpp
@@ -10,6 +10,7 @@
 #include "../locus/keep.h"
 #include "../log/log.h"
 #include "../port/calls.h"
+#include "../trove/leveldb_store.h"
 #include "role.h"
 
 namespace robinpin::mesh {
@@ -27,7 +28,7 @@
 
 class Locus : public Role {
  public:
-  Locus(ground::Settings s, std::string path, std::unique_ptr<trove::Trove> trove, std::string aside)
+  Locus(ground::Settings s, std::string path, std::unique_ptr<trove::KeyValueStore> trove, std::string aside)
       : Role(std::move(s), std::move(path), true),
         sockets_(std::max(32, settings.file_limit - 264)),
         trove_(std::move(trove)),
@@ -147,7 +148,8 @@
     if (keep_.failed() && !failed_) {
       failed_ = true;
       chronicle_.append(event::disk_failed, now(),
-                        keep_.failed()->step + " " + keep_.failed()->peer + ": " + keep_.failed()->why);
+                        trove::to_string(keep_.failed()->step) + std::string(" ") + keep_.failed()->peer +
+                            ": " + keep_.failed()->reason);
       io_.stop();
     }
     if (const bool is = keep_.fresh(now()); is != was_fresh_) {
@@ -249,7 +251,7 @@
   }
 
   node::Sockets sockets_;
-  std::unique_ptr<trove::Trove> trove_;
+  std::unique_ptr<trove::KeyValueStore> trove_;
   locus::Keep keep_;
   port::Port control_;
   asio::steady_timer wakes_, last_end_{io_};
@@ -262,23 +264,23 @@
 // A store that can't be read for what it was is set aside: its machine is one with a lost disk, which the
 // others know how to take in. What was never told from a good one is found by the voters' counters
 // (locus/keep).
-trove::result<std::unique_ptr<trove::Trove>> opened(const std::string& folder, std::string& aside) {
-  const auto usable = [&]() -> trove::result<std::unique_ptr<trove::Trove>> {
-    BOOST_LEAF_AUTO(trove, trove::open(folder));
-    BOOST_LEAF_AUTO(held, trove->all());
+trove::result<std::unique_ptr<trove::KeyValueStore>> opened(const std::string& folder, std::string& aside) {
+  const auto usable = [&]() -> trove::result<std::unique_ptr<trove::KeyValueStore>> {
+    BOOST_LEAF_AUTO(trove, trove::open_leveldb_store(folder));
+    BOOST_LEAF_AUTO(held, trove->read_all());
     BOOST_LEAF_CHECK(locus::kept(held));
     return trove;
   };
   return boost::leaf::try_handle_some(
-      usable, [&](const trove::Trouble& t) -> trove::result<std::unique_ptr<trove::Trove>> {
+      usable, [&](const trove::Error& t) -> trove::result<std::unique_ptr<trove::KeyValueStore>> {
         std::error_code wrong;
-        if (t.step != "damage")
+        if (t.step != trove::Error::Step::corruption)
           return boost::leaf::new_error(t);  // in use, or no room: it may be right again
-        aside = t.step + " " + t.peer + ": " + t.why;
+        aside = trove::to_string(t.step) + std::string(" ") + t.peer + ": " + t.reason;
         std::filesystem::remove_all(folder + ".aside", wrong);  // one is kept, for whoever looks into it
         std::filesystem::rename(folder, folder + ".aside", wrong);
         if (wrong) return boost::leaf::new_error(t);
-        return trove::open(folder);
+        return trove::open_leveldb_store(folder);
       });
 }
 
--- a/src/mesh/lookout.cpp
+++ b/src/mesh/lookout.cpp
@@ -23,23 +23,24 @@
   const bool again = std::exchange(again_, false);
   if (!signalled && !again && stamp_ == seen) return Found();
   stamp_ = seen;
-  trove::Trouble trouble;
+  trove::Error trouble;
   Found next =
       boost::leaf::try_handle_all([&]() -> trove::result<Found> { return ground::load(path_, core_); },
-                                  [&](const trove::Trouble& t) {
+                                  [&](const trove::Error& t) {
                                     trouble = t;
                                     return Found();
                                   },
                                   [] { return Found(); });
   if (next)
     for (const auto& pointer : ground::needs_start(old, *next)) {
-      trouble.step = "take on", trouble.peer = path_;
-      trouble.why += pointer + ": needs a new start\n";
+      trouble.step = trove::Error::Step::apply, trouble.peer = path_;
+      trouble.reason += pointer + ": needs a new start\n";
     }
-  if (!next || !trouble.why.empty()) {
-    again_ = !again && (trouble.step == "parse" || trouble.step == "open");
-    if (!signalled && (again_ || trouble.why == faults_)) return Found();
-    faults_ = trouble.why;
+  if (!next || !trouble.reason.empty()) {
+    again_ =
+        !again && (trouble.step == trove::Error::Step::parse || trouble.step == trove::Error::Step::open);
+    if (!signalled && (again_ || trouble.reason == faults_)) return Found();
+    faults_ = trouble.reason;
     return boost::leaf::new_error(trouble);
   }
   const bool news = signalled || !faults_.empty() || *next != old;
--- a/src/mesh/role.cpp
+++ b/src/mesh/role.cpp
@@ -156,7 +156,7 @@
         switched();
         return {};
       },
-      [&](const trove::Trouble& t) { chronicle_.append(chronicle::event::settings_faulty, now(), t.why); },
+      [&](const trove::Error& t) { chronicle_.append(chronicle::event::settings_faulty, now(), t.reason); },
       [] {});
 }
 
--- a/src/span/span.h
+++ b/src/span/span.h
@@ -10,7 +10,7 @@
 #include <string_view>
 
 #include "../rumour/rumour.h"
-#include "../trove/trove.h"
+#include "../trove/error.h"
 
 namespace robinpin::span {
 
--- a/src/span/udp.cpp
+++ b/src/span/udp.cpp
@@ -21,7 +21,7 @@
   if (!wrong) u->socket_.bind({asio::ip::make_address_v4(self), port}, wrong);
   if (wrong)
     return boost::leaf::new_error(
-        trove::Trouble{"bind", text_of(self) + ":" + std::to_string(port), wrong.message()});
+        trove::Error{trove::Error::Step::bind, text_of(self) + ":" + std::to_string(port), wrong.message()});
   u->socket_.non_blocking(true);
   return u;
 }
--- a/tests/mesh/contract_test.cpp
+++ b/tests/mesh/contract_test.cpp
@@ -7,6 +7,8 @@
 #include "../../src/chronicle/chronicle.h"
 #include "../../src/span/memory.h"
 #include "../../src/span/udp.h"
+#include "../../src/trove/leveldb_store.h"
+#include "../../src/trove/memory_store.h"
 #include "help.h"
 
 #include <CppUTest/TestHarness.h>
@@ -26,28 +28,29 @@
 };
 
 // What every trove must do; `again` opens the same one as a process's next life would.
-void keeps_what_it_said(const std::function<std::unique_ptr<trove::Trove>()>& again) {
-  using lasting = trove::Trove::lasting;
+void keeps_what_it_said(const std::function<std::unique_ptr<trove::KeyValueStore>()>& again) {
+  using Durability = trove::KeyValueStore::Durability;
   const std::string bytes("\0 odd \xff bytes", 13), odd("k\0k", 3);
-  const auto put = [](trove::Trove& t, const trove::Trove::Batch& batch, lasting how) {
-    STRCMP_EQUAL("", trouble_of<void>([&] { return t.put(batch, how); }).c_str());
+  const auto put = [](trove::KeyValueStore& t, const trove::KeyValueStore::WriteBatch& batch,
+                      Durability durability) {
+    STRCMP_EQUAL("", trouble_of<void>([&] { return t.write(batch, durability); }).c_str());
   };
   {
     auto t = again();
-    put(*t, {{{"a", "1"}, {"b", bytes}, {"c", "gone"}}, {}}, lasting::synced);
-    put(*t, {{{"d", "in time"}, {"e", "gone"}}, {"c", "never there"}}, lasting::in_time);
+    put(*t, {{{"a", "1"}, {"b", bytes}, {"c", "gone"}}, {}}, Durability::synced);
+    put(*t, {{{"d", "in time"}, {"e", "gone"}}, {"c", "never there"}}, Durability::unsynced);
     put(*t, {{{"a", "2"}, {odd, std::string(100'000, 'x')}, {"f", "dropped by the same"}}, {"e", "f"}},
-        lasting::synced);
+        Durability::synced);
   }
-  std::vector<trove::Trove::Pair> held;
+  std::vector<trove::KeyValueStore::Entry> held;
   auto t = again();
   STRCMP_EQUAL("", trouble_of<void>([&]() -> trove::result<void> {
-                     BOOST_LEAF_ASSIGN(held, t->all());
-                     BOOST_LEAF_AUTO(size, t->bytes());
+                     BOOST_LEAF_ASSIGN(held, t->read_all());
+                     BOOST_LEAF_AUTO(size, t->size_on_disk());
                      CHECK(size > 0 && size < 1'000'000);  // what is alike is packed
                      return {};
                    }).c_str());
-  CHECK(held == std::vector<trove::Trove::Pair>(
+  CHECK(held == std::vector<trove::KeyValueStore::Entry>(
                     {{"a", "2"}, {"b", bytes}, {"d", "in time"}, {odd, std::string(100'000, 'x')}}));
 }
 
@@ -79,17 +82,19 @@
 TEST_GROUP(Trove){};
 
 TEST(Trove, in_memory_keeps_over_a_process_what_put_said_lasts) {
-  const auto disk = std::make_shared<trove::Memory::Disk>();
-  keeps_what_it_said([&] { return std::make_unique<trove::Memory>(disk); });
+  const auto disk = std::make_shared<trove::MemoryStore::Disk>();
+  keeps_what_it_said([&] { return std::make_unique<trove::MemoryStore>(disk); });
 }
 
 TEST(Trove, in_memory_loses_with_power_what_was_put_in_time_alone) {
-  const auto disk = std::make_shared<trove::Memory::Disk>();
-  trove::Memory t(disk);
-  for (const auto& [name, how] : {std::pair("a", trove::Trove::lasting::in_time),
-                                  {"b", trove::Trove::lasting::synced},
-                                  {"c", trove::Trove::lasting::in_time}})
-    STRCMP_EQUAL("", trouble_of<void>([&, n = name, h = how] { return t.put({{{n, "x"}}, {}}, h); }).c_str());
+  const auto disk = std::make_shared<trove::MemoryStore::Disk>();
+  trove::MemoryStore t(disk);
+  for (const auto& [name, how] : {std::pair("a", trove::KeyValueStore::Durability::unsynced),
+                                  {"b", trove::KeyValueStore::Durability::synced},
+                                  {"c", trove::KeyValueStore::Durability::unsynced}})
+    STRCMP_EQUAL("", trouble_of<void>([&, n = name, h = how] {
+                       return t.write({{{n, "x"}}, {}}, h);
+                     }).c_str());
   CHECK_EQUAL(3, disk->written.size());
   disk->lose_power();
   CHECK(disk->written == (std::map<std::string, std::string>{{"a", "x"}, {"b", "x"}}));
@@ -98,9 +103,9 @@
 TEST(Trove, on_disk_keeps_over_a_process_what_put_said_lasts) {
   const Folder folder;
   keeps_what_it_said([&] {
-    std::unique_ptr<trove::Trove> t;
+    std::unique_ptr<trove::KeyValueStore> t;
     STRCMP_EQUAL("", trouble_of<void>([&]() -> trove::result<void> {
-                       BOOST_LEAF_ASSIGN(t, trove::open(folder.path + "/t"));
+                       BOOST_LEAF_ASSIGN(t, trove::open_leveldb_store(folder.path + "/t"));
                        return {};
                      }).c_str());
     return t;
@@ -110,8 +115,8 @@
 TEST(Trove, a_folder_that_is_a_file_is_told_with_step_and_peer) {
   const Folder folder;
   std::ofstream(folder.path + "/t") << "x";
-  const std::string why =
-      trouble_of<std::unique_ptr<trove::Trove>>([&] { return trove::open(folder.path + "/t"); });
+  const std::string why = trouble_of<std::unique_ptr<trove::KeyValueStore>>(
+      [&] { return trove::open_leveldb_store(folder.path + "/t"); });
   CHECK(why.starts_with("open|" + folder.path + "/t|"));
 }
 
--- a/tests/mesh/disk.h
+++ b/tests/mesh/disk.h
@@ -13,7 +13,8 @@
 #include <utility>
 #include <vector>
 
-#include "../../src/trove/level.h"
+#include "../../src/trove/file_system.h"
+#include "../../src/trove/leveldb_store.h"
 #include "help.h"
 
 namespace robinpin::mesh_test::disk {
@@ -163,7 +164,7 @@
 
 // Records what is asked, does it, and syncs nothing. LevelDB's background work waits until `work`, so that a
 // seed is a history.
-class Recorder : public trove::Files {
+class Recorder : public trove::FileSystem {
  public:
   explicit Recorder(std::string folder) : folder_(std::move(folder)) {}
   std::vector<Event> events;
@@ -186,14 +187,14 @@
     if (folder == fs::path(folder_).parent_path().string()) note({Event::is::parent});
     return Status::OK();
   }
-  Status cut(const std::string& path, std::uint64_t size) override {
+  Status truncate_and_sync(const std::string& path, std::uint64_t size) override {
     if (fails()) return broken(path);
     fs::resize_file(path, size);
     note({Event::is::cut, name(path), {}, std::size_t(size)});
     note({Event::is::sync, name(path)});
     return Status::OK();
   }
-  Status settle(const std::string& path) override {
+  Status rewrite_and_sync(const std::string& path) override {
     if (fails()) return broken(path);
     return note({Event::is::settle, name(path)}), Status::OK();
   }
@@ -265,8 +266,8 @@
   std::deque<std::pair<void (*)(void*), void*>> waits_;
 };
 
-using trove::Trove;
-using lasting = Trove::lasting;
+using trove::KeyValueStore;
+using Durability = KeyValueStore::Durability;
 using Pairs = std::map<std::string, std::string>;
 constexpr std::size_t small =
     64 << 10;  // the least buffer that LevelDB takes: a log is full after some twenty puts
@@ -282,33 +283,33 @@
   std::string top, path;
 };
 
-inline std::string opened(std::unique_ptr<Trove>& t, Pairs& held,
-                          const std::function<trove::result<std::unique_ptr<Trove>>()>& how) {
+inline std::string opened(std::unique_ptr<KeyValueStore>& t, Pairs& held,
+                          const std::function<trove::result<std::unique_ptr<KeyValueStore>>()>& how) {
   return trouble_of<void>([&]() -> trove::result<void> {
     BOOST_LEAF_ASSIGN(t, how());
-    BOOST_LEAF_AUTO(all, t->all());
+    BOOST_LEAF_AUTO(all, t->read_all());
     held = Pairs(all.begin(), all.end());
     return {};
   });
 }
 
 // A put of a few names, some of them let go of, that counts itself; `held` is what stands after it.
-inline Trove::Batch drawn_batch(Chance& chance, std::size_t number, Pairs& held) {
-  Trove::Batch batch;
+inline KeyValueStore::WriteBatch drawn_batch(Chance& chance, std::size_t number, Pairs& held) {
+  KeyValueStore::WriteBatch batch;
   for (std::size_t i = 0; i <= below(chance, 3); ++i) {
     std::string name = "i/";
     name += char('a' + below(chance, 12));
     if (chance() % 4 == 0) {
-      batch.drop.push_back(name);
+      batch.removals.push_back(name);
     } else {
       std::string text(below(chance, chance() % 4 ? 300 : 12'000), '\0');
       for (char& c : text) c = char(chance());
-      batch.put.emplace_back(name, std::move(text));
+      batch.puts.emplace_back(name, std::move(text));
     }
   }
-  batch.put.emplace_back("n", std::to_string(number));
-  for (const auto& [k, v] : batch.put) held[k] = v;
-  for (const auto& k : batch.drop) held.erase(k);
+  batch.puts.emplace_back("n", std::to_string(number));
+  for (const auto& [k, v] : batch.puts) held[k] = v;
+  for (const auto& k : batch.removals) held.erase(k);
   return batch;
 }
 
@@ -358,9 +359,10 @@
 
   std::string look_in(Recorder& files) {  // opens what is there: one of the states that may be
     world_.lay_out(folder_.path);
-    std::unique_ptr<Trove> t;
+    std::unique_ptr<KeyValueStore> t;
     Pairs held;
-    const std::string why = opened(t, held, [&] { return trove::open(folder_.path, files, small); });
+    const std::string why =
+        opened(t, held, [&] { return trove::open_leveldb_store(folder_.path, files, small); });
     files.work();
     if (!why.empty()) return "it does not open: " + why;
     return judge(held);
@@ -380,9 +382,10 @@
   std::string live(Recorder& files, bool faulty) {
     world_.lay_out(folder_.path);
     if (faulty) files.fails_at = below(chance_, 160);
-    std::unique_ptr<Trove> t;
+    std::unique_ptr<KeyValueStore> t;
     Pairs held;
-    const std::string why = opened(t, held, [&] { return trove::open(folder_.path, files, small); });
+    const std::string why =
+        opened(t, held, [&] { return trove::open_leveldb_store(folder_.path, files, small); });
     if (!why.empty()) {
       tally_.failures += files.failed;
       return files.failed ? "" : "it does not open: " + why;
@@ -396,14 +399,14 @@
       const std::size_t number = states_.size();
       Pairs after = states_.back();
       const auto batch = drawn_batch(chance_, number, after);
-      const auto how = below(chance_, seldom) == 0 ? lasting::synced : lasting::in_time;
+      const auto how = below(chance_, seldom) == 0 ? Durability::synced : Durability::unsynced;
       if (!refused) states_.push_back(after), files.note({Event::is::begun, {}, {}, number});
-      const bool good = trouble_of<void>([&] { return t->put(batch, how); }).empty();
+      const bool good = trouble_of<void>([&] { return t->write(batch, how); }).empty();
       if (good && refused) return "a put was taken behind one that failed";
       if (!good && !files.failed) return "a put fails by itself";
       refused = !good;
       if (good)
-        files.note({how == lasting::synced ? Event::is::put_synced : Event::is::put, {}, {}, number}),
+        files.note({how == Durability::synced ? Event::is::put_synced : Event::is::put, {}, {}, number}),
             ++tally_.puts;
       if (files.waits() && (owed++ == 2 || chance_() % 2))
         files.work(), owed = 0;  // before its buffer is full again
--- a/tests/mesh/fleet.h
+++ b/tests/mesh/fleet.h
@@ -12,6 +12,7 @@
 
 #include "../../src/locus/keep.h"
 #include "../../src/span/memory.h"
+#include "../../src/trove/memory_store.h"
 #include "help.h"
 
 namespace robinpin::mesh_test {
@@ -29,13 +30,13 @@
     std::unique_ptr<span::Memory> span;
     std::unique_ptr<creed::Creed> creed;
     std::unique_ptr<rumour::Rumour> rumour;
-    std::unique_ptr<trove::Memory> trove;
+    std::unique_ptr<trove::MemoryStore> trove;
     std::unique_ptr<locus::Keep> keep;
     rumour::Record record;
     bool frozen = false;
     std::vector<std::pair<Machine, std::string>> waiting;
     // Beyond it:
-    std::shared_ptr<trove::Memory::Disk> disk = std::make_shared<trove::Memory::Disk>();
+    std::shared_ptr<trove::MemoryStore::Disk> disk = std::make_shared<trove::MemoryStore::Disk>();
     std::map<std::string, std::pair<std::uint64_t, std::uint64_t>>
         seen;  // of this life: numbers and versions never go back
     std::uint64_t looked = 0;
@@ -63,7 +64,7 @@
     n.span->listen([this, m](Machine from, std::string_view bytes) { heard(m, from, bytes); });
     n.seen.clear(), n.looked = 0;
     if (n.core) {
-      n.trove = std::make_unique<trove::Memory>(n.disk);
+      n.trove = std::make_unique<trove::MemoryStore>(n.disk);
       n.keep = std::make_unique<locus::Keep>(m, *n.creed, *n.rumour, *n.trove,
                                              (std::uint64_t(chance()) << 32) | chance());
       std::vector<Machine> founders;
@@ -79,7 +80,7 @@
     n.keep.reset(), n.trove.reset(), n.rumour.reset(), n.creed.reset(), n.span.reset();
     n.frozen = false, n.waiting.clear();
   }
-  void wipe(Machine m) { nodes.at(m).disk = std::make_shared<trove::Memory::Disk>(); }
+  void wipe(Machine m) { nodes.at(m).disk = std::make_shared<trove::MemoryStore::Disk>(); }
   void cut(Machine a, Machine b) { net.cut.insert({a, b}), net.cut.insert({b, a}); }
   void cut_off(Machine m) {
     for (const auto& [o, n] : nodes)
--- a/tests/mesh/fleet_test.cpp
+++ b/tests/mesh/fleet_test.cpp
@@ -172,12 +172,12 @@
 TEST(Fleet, a_failed_sync_is_final_and_nothing_is_acknowledged_after_it) {
   Fleet f(0, 3, 8);
   f.run(second);
-  f.nodes.at(core(0)).trove->fails = true;
+  f.nodes.at(core(0)).trove->fail_writes = true;
   CHECK_EQUAL(503, f.settled(core(0), What::adjust, first_call("00000007")));
-  f.nodes.at(core(0)).trove->fails = false;
+  f.nodes.at(core(0)).trove->fail_writes = false;
   CHECK_EQUAL(503, f.settled(core(0), What::adjust, first_call("00000007")));
   CHECK_EQUAL(200, f.settled(core(1), What::adjust, first_call("00000007")));  // the other two are a majority
-  f.nodes.at(core(2)).trove->fails = true;
+  f.nodes.at(core(2)).trove->fail_writes = true;
   CHECK_EQUAL(503, f.settled(core(1), What::adjust, first_call("00000009")));
 }
 
--- a/tests/mesh/help.h
+++ b/tests/mesh/help.h
@@ -4,7 +4,7 @@
 #include <boost/leaf/handle_errors.hpp>
 #include <string>
 
-#include "../../src/trove/trove.h"
+#include "../../src/trove/error.h"
 
 namespace robinpin::mesh_test {
 
@@ -16,7 +16,9 @@
         BOOST_LEAF_CHECK(f());
         return std::string();
       },
-      [](const trove::Trouble& t) { return t.step + "|" + t.peer + "|" + t.why; },
+      [](const trove::Error& t) {
+        return trove::to_string(t.step) + std::string("|") + t.peer + "|" + t.reason;
+      },
       [] { return std::string("unknown"); });
 }
 
--- a/tests/mesh/trove_test.cpp
+++ b/tests/mesh/trove_test.cpp
@@ -8,6 +8,7 @@
 #include <cstdio>
 #include <optional>
 
+#include "../../src/trove/offline_reader.h"
 #include "disk.h"
 
 #include <CppUTest/TestHarness.h>
@@ -39,16 +40,16 @@
   explicit Left(std::uint32_t seed) {
     Chance chance(seed);
     Recorder files(folder.path);
-    std::unique_ptr<Trove> t;
-    std::string why = opened(t, held, [&] { return trove::open(folder.path, files, small); });
+    std::unique_ptr<KeyValueStore> t;
+    std::string why = opened(t, held, [&] { return trove::open_leveldb_store(folder.path, files, small); });
     for (std::size_t i = 1; i <= 60 || !files.waits(); ++i) {  // until a log is full and still needed
       files.work();
-      why += trouble_of<void>([&, batch = drawn_batch(chance, i, held)] { return t->put(batch); });
+      why += trouble_of<void>([&, batch = drawn_batch(chance, i, held)] { return t->write(batch); });
       states.push_back(held);
     }
     for (std::size_t i = 0; i < 4; ++i) {
-      why += trouble_of<void>(
-          [&, batch = Trove::Batch{{{"n", std::to_string(states.size())}}, {}}] { return t->put(batch); });
+      why += trouble_of<void>([&, batch = KeyValueStore::WriteBatch{{{"n", std::to_string(states.size())}},
+                                                                    {}}] { return t->write(batch); });
       held["n"] = std::to_string(states.size());
       states.push_back(held);
     }
@@ -82,22 +83,22 @@
 struct Seen {
   std::string why;  // empty: it opened, as `held`
   Pairs held;
-  trove::Look look;
+  trove::OfflineContents look;
 };
 Seen seen(const std::string& folder) {
   Seen s;
   ::setenv("TMPDIR", fs::path(folder).parent_path().c_str(), 1);  // where copies go
   const auto before = files_of(folder);
   const std::string why = trouble_of<void>([&]() -> trove::result<void> {
-    BOOST_LEAF_ASSIGN(s.look, trove::look(folder));
+    BOOST_LEAF_ASSIGN(s.look, trove::read_offline(folder));
     return {};
   });
-  if (!why.empty()) s.look.damage.push_back(why);
+  if (!why.empty()) s.look.corruption.push_back(why);
   ::unsetenv("TMPDIR");
   CHECK(files_of(folder) == before);
   Recorder files(folder);
-  std::unique_ptr<Trove> t;
-  s.why = opened(t, s.held, [&] { return trove::open(folder, files, small); });
+  std::unique_ptr<KeyValueStore> t;
+  s.why = opened(t, s.held, [&] { return trove::open_leveldb_store(folder, files, small); });
   files.work();
   return s;
 }
@@ -128,17 +129,17 @@
       else
         fs::remove(folder + "/" + name);
       const Seen s = seen(folder);
-      if (s.why.empty() != s.look.damage.empty())
+      if (s.why.empty() != s.look.corruption.empty())
         FAIL((where + ": opened: '" + s.why +
-              "', looked at: " + (s.look.damage.empty() ? "nothing" : s.look.damage[0]))
+              "', looked at: " + (s.look.corruption.empty() ? "nothing" : s.look.corruption[0]))
                  .c_str());
       if (!s.why.empty()) {
         ++told;
-        if (!s.why.starts_with("damage|" + folder) || s.why.find(folder + "/") == std::string::npos)
+        if (!s.why.starts_with("corruption|" + folder) || s.why.find(folder + "/") == std::string::npos)
           FAIL((where + ": which file? " + s.why).c_str());
         continue;
       }
-      if (Pairs(s.look.pairs.begin(), s.look.pairs.end()) != s.held)
+      if (Pairs(s.look.entries.begin(), s.look.entries.end()) != s.held)
         FAIL((where + ": looked at, it differs").c_str());
       if (s.held == left.held) {
         ++whole;
@@ -164,7 +165,7 @@
   const std::string folder = left.again();
   fs::copy_file(left.left() + "/" + logs[0], folder + "/" + logs[1], fs::copy_options::overwrite_existing);
   const Seen s = seen(folder);
-  CHECK(s.why.starts_with("damage|" + folder + "/" + logs[1] + "|has put "));
+  CHECK(s.why.starts_with("corruption|" + folder + "/" + logs[1] + "|has write "));
 }
 
 TEST(Disk, of_a_damaged_store_a_look_tells_the_damage_and_what_can_still_be_read) {
@@ -172,14 +173,16 @@
   const std::string folder = left.again();
   fs::remove(folder + "/" + left.last_log);
   const Seen s = seen(folder);
-  CHECK_EQUAL(1, s.look.damage.size());
-  STRCMP_EQUAL((folder + "/" + left.last_log + ": is missing").c_str(), s.look.damage[0].c_str());
-  CHECK(!s.look.pairs.empty() && s.look.bytes > small);
+  CHECK_EQUAL(1, s.look.corruption.size());
+  STRCMP_EQUAL((folder + "/" + left.last_log + ": is missing").c_str(), s.look.corruption[0].c_str());
+  CHECK(!s.look.entries.empty() && s.look.size_on_disk > small);
 }
 
 TEST(Disk, a_look_makes_no_store_and_leaves_one_that_is_in_use) {
   const Folder f;
-  const auto why = [&] { return trouble_of<trove::Look>([&] { return trove::look(f.path); }); };
+  const auto why = [&] {
+    return trouble_of<trove::OfflineContents>([&] { return trove::read_offline(f.path); });
+  };
   CHECK(why().starts_with("open|" + f.path + "|"));
   CHECK_FALSE(fs::exists(f.path));
   fs::create_directory(f.path);
@@ -200,8 +203,8 @@
   }
   char locked = 'n';
   CHECK_EQUAL(1, ::read(ready[0], &locked, 1));
-  const std::string in_use = why(),
-                    second = trouble_of<std::unique_ptr<Trove>>([&] { return trove::open(f.path); });
+  const std::string in_use = why(), second = trouble_of<std::unique_ptr<KeyValueStore>>(
+                                        [&] { return trove::open_leveldb_store(f.path); });
   for (const int fd : {done[1], done[0], ready[0], ready[1]}) ::close(fd);
   int status = 1;
   ::waitpid(other, &status, 0);
@@ -227,14 +230,14 @@
     std::ofstream(f.path + log, std::ios::app) << "torn";  // one let go of, and the last
   Pairs held;
   for (int life = 0; life < 2; ++life) {
-    std::unique_ptr<Trove> t;
-    STRCMP_EQUAL("", opened(t, held, [&] { return trove::open(f.path); }).c_str());
+    std::unique_ptr<KeyValueStore> t;
+    STRCMP_EQUAL("", opened(t, held, [&] { return trove::open_leveldb_store(f.path); }).c_str());
     CHECK(held == (life == 0 ? Pairs{{"i/a", "1"}, {"own", "1"}} : Pairs{{"i/a", "2"}, {"own", "1"}}));
-    STRCMP_EQUAL("", trouble_of<void>([&] { return t->put({{{"i/a", "2"}}, {}}); }).c_str());
+    STRCMP_EQUAL("", trouble_of<void>([&] { return t->write({{{"i/a", "2"}}, {}}); }).c_str());
   }
   fs::remove(f.path + "/CURRENT");  // rebuilt: a loss of power may take it in its renaming
-  std::unique_ptr<Trove> t;
-  STRCMP_EQUAL("", opened(t, held, [&] { return trove::open(f.path); }).c_str());
+  std::unique_ptr<KeyValueStore> t;
+  STRCMP_EQUAL("", opened(t, held, [&] { return trove::open_leveldb_store(f.path); }).c_str());
   CHECK(held == (Pairs{{"i/a", "2"}, {"own", "1"}}));
 }
 
@@ -246,9 +249,9 @@
     const Folder f;
     Recorder files(f.path);
     files.fails_at = at;
-    std::unique_ptr<Trove> t;
+    std::unique_ptr<KeyValueStore> t;
     Pairs held;
-    if (!opened(t, held, [&] { return trove::open(f.path, files, small); }).empty()) {
+    if (!opened(t, held, [&] { return trove::open_leveldb_store(f.path, files, small); }).empty()) {
       CHECK(files.failed);
       continue;
     }
@@ -257,7 +260,7 @@
     for (std::size_t i = 1; i <= 60; ++i) {
       const bool before = files.failed;
       const bool good = trouble_of<void>([&, batch = drawn_batch(chance, i, held)] {
-                          return t->put(batch, i % 2 ? lasting::synced : lasting::in_time);
+                          return t->write(batch, i % 2 ? Durability::synced : Durability::unsynced);
                         }).empty();
       if (good && (refused || before))
         FAIL(("call " + std::to_string(at) + ", put " + std::to_string(i) + " taken").c_str());
@@ -273,22 +276,22 @@
   const Folder f;
   Recorder files(f.path);
   Pairs held;
-  std::unique_ptr<Trove> t;
-  STRCMP_EQUAL("", opened(t, held, [&] { return trove::open(f.path, files); }).c_str());
+  std::unique_ptr<KeyValueStore> t;
+  STRCMP_EQUAL("", opened(t, held, [&] { return trove::open_leveldb_store(f.path, files); }).c_str());
   Chance chance(3);
   std::uint64_t most = 0;
   for (int i = 0; i < 60'000; ++i) {
     std::string text(200, '\0');
     for (char& c : text) c = char(chance());
-    const Trove::Batch batch{
+    const KeyValueStore::WriteBatch batch{
         {{"i/" + std::to_string(i), text}},
         i < 1'000 ? std::vector<std::string>() : std::vector<std::string>{"i/" + std::to_string(i - 1'000)}};
-    CHECK(trouble_of<void>([&] { return t->put(batch, lasting::in_time); }).empty());
+    CHECK(trouble_of<void>([&] { return t->write(batch, Durability::unsynced); }).empty());
     files.work();
     files.events.clear();
     if (i % 500 == 0)
       trouble_of<void>([&]() -> trove::result<void> {
-        BOOST_LEAF_AUTO(size, t->bytes());
+        BOOST_LEAF_AUTO(size, t->size_on_disk());
         most = std::max(most, size);
         return {};
       });
--- a/tests/mesh/world.h
+++ b/tests/mesh/world.h
@@ -85,12 +85,12 @@
 // explorer was too hard on it); a loss of power takes those that were put in time from the end on, as far as
 // it likes.
 struct Disk {
-  using Batch = trove::Trove::Batch;
+  using Batch = trove::KeyValueStore::WriteBatch;
   std::map<std::string, std::string> lasts;
   std::vector<Batch> since;
   static void apply(std::map<std::string, std::string>& to, const Batch& b) {
-    for (const auto& [k, v] : b.put) to[k] = v;
-    for (const auto& k : b.drop) to.erase(k);
+    for (const auto& [k, v] : b.puts) to[k] = v;
+    for (const auto& k : b.removals) to.erase(k);
   }
   std::map<std::string, std::string> written() const {
     auto all = lasts;
@@ -109,33 +109,33 @@
     std::uint64_t h = since.size();
     for (const auto& [k, v] : lasts) h = mixed(mixed(h, k), v);
     for (const Batch& b : since) {
-      for (const auto& [k, v] : b.put) h = mixed(mixed(h, k), v);
-      for (const auto& k : b.drop) h = mixed(h + 1, k);
+      for (const auto& [k, v] : b.puts) h = mixed(mixed(h, k), v);
+      for (const auto& k : b.removals) h = mixed(h + 1, k);
     }
     return h;
   }
 };
 
-class Store : public trove::Trove {
+class Store : public trove::KeyValueStore {
  public:
   explicit Store(std::shared_ptr<Disk> disk) : disk_(std::move(disk)) {
     disk_->settle();
   }                 // opened: what was found is synced
   int spared = -1;  // the process dies once so many more puts are there; below 0: it does not
   bool died = false;
-  trove::result<void> put(const Batch& batch, lasting how = lasting::synced) override {
+  trove::result<void> write(const WriteBatch& batch, Durability durability = Durability::synced) override {
     if (died || spared == 0)
-      return died = true, boost::leaf::new_error(trove::Trouble{"sync", "memory", "died"});
+      return died = true, boost::leaf::new_error(trove::Error{trove::Error::Step::sync, "memory", "died"});
     if (spared > 0) --spared;
     disk_->since.push_back(batch);
-    if (how == lasting::synced) disk_->settle();
+    if (durability == Durability::synced) disk_->settle();
     return {};
   }
-  trove::result<std::vector<Pair>> all() override {
+  trove::result<std::vector<Entry>> read_all() override {
     const auto held = disk_->written();
-    return std::vector<Pair>(held.begin(), held.end());
+    return std::vector<Entry>(held.begin(), held.end());
   }
-  trove::result<std::uint64_t> bytes() override { return 0; }
+  trove::result<std::uint64_t> size_on_disk() override { return 0; }
 
  private:
   std::shared_ptr<Disk> disk_;
@@ -488,10 +488,10 @@
     b->truth.states[b->truth.top()] = std::make_shared<const State>(std::move(s));
     for (auto& d : b->disks) {
       if (d->empty()) continue;
-      std::vector<trove::Trove::Pair> pairs(d->lasts.begin(), d->lasts.end());
+      std::vector<trove::KeyValueStore::Entry> pairs(d->lasts.begin(), d->lasts.end());
       const auto k =
           boost::leaf::try_handle_all([&] { return locus::kept(pairs); }, [] { return locus::Kept{}; });
-      trove::Trove::Batch batch;
+      trove::KeyValueStore::WriteBatch batch;
       locus::Own own = *k.own;
       own.floor = own.holds.number;
       locus::put(batch, own);
