--- a/bench/mesh_size.cpp
+++ b/bench/mesh_size.cpp
@@ -136,8 +136,8 @@
 class Sized : public Fleet {
  public:
   Sized(int ambits, const Options& o) : Fleet(0, o.cores, o.seed), cores_(o.cores), own_(cpu_of_clock()) {
-    net.most = std::max<std::int64_t>(net.least + 1, o.delay);
-    net.loss = o.loss;
+    net.max_delay = std::max<std::int64_t>(net.min_delay + 1, o.delay);
+    net.loss_probability = o.loss;
     live_ = o.live > 0 ? std::min(o.live, ambits) : ambits;
     muted_ = true;
     for (int i = 0; i < ambits; ++i) {
@@ -197,7 +197,7 @@
       for (int i = 0; i <= cores_; ++i)
         if (const auto it = nodes.find(core(i)); it != nodes.end() && it->second.keep)
           due = std::min(due, std::max(net.now + 100, it->second.keep->wake()));
-      net.run(due);
+      net.advance_to(due);
       for (int i = 0; i <= cores_; ++i)
         if (const auto it = nodes.find(core(i));
             it != nodes.end() && it->second.keep && it->second.keep->wake() <= net.now)
--- a/src/ambit/carry.cpp
+++ b/src/ambit/carry.cpp
@@ -6,7 +6,7 @@
 
 #include "../net/listening.h"
 #include "../port/port.h"
-#include "../span/span.h"
+#include "../span/address.h"
 
 namespace robinpin::ambit {
 
@@ -106,7 +106,7 @@
       plan_(std::make_shared<creed::Plan>()),
       most_bodies_(std::size_t(settings.memory_mb) * 1024 * 1024 / bodies_part),
       chance_(seed),
-      self_(span::machine_of(settings.ip)) {
+      self_(span::parse_address(settings.ip)) {
   account_.bounds(settings.retry_window, settings.retry_ratio, settings.retry_slack, 1);
   sockets.evict_by(
       [this] { return std::any_of(ways_.begin(), ways_.end(), [](auto& w) { return w.second->evict(); }); });
@@ -132,7 +132,8 @@
   if (!w) {
     const auto colon = settings_.ports.at("inbound").rfind(':');
     w = std::make_unique<Way>(
-        io_, sockets_, node::endpoint_of(span::text_of(m) + settings_.ports.at("inbound").substr(colon)),
+        io_, sockets_,
+        node::endpoint_of(span::format_address(m) + settings_.ports.at("inbound").substr(colon)),
         between_nodes());
   }
   return *w;
--- a/src/mesh/ambit.cpp
+++ b/src/mesh/ambit.cpp
@@ -214,7 +214,7 @@
     put("taken", c.taken), put("good", c.good), put("failed", c.failed), put("refused", c.refused),
         put("further", c.further), put("held", c.held);
     put("own_4xx", c.own_4xx), put("probes", c.probes);
-    put("datagrams", span_->sent), put("datagram_bytes", span_->sent_bytes);
+    put("datagrams", span_->datagrams_sent), put("datagram_bytes", span_->bytes_sent);
     out.Key("servers"), out.StartArray();
     for (const auto& [m, e] : rumour_.roll().entries()) {
       if (e.record.server.empty()) continue;
@@ -222,7 +222,7 @@
       out.Key("id"), out.String(e.record.server.c_str());
       out.Key("service"), out.String(e.record.service.c_str());
       out.Key("zone"), out.String(e.record.zone.c_str());
-      out.Key("machine"), out.String(span::text_of(m).c_str());
+      out.Key("machine"), out.String(span::format_address(m).c_str());
       out.Key("state"), out.String(e.record.lapsed ? "lapsed" : e.record.draining ? "draining" : "admitted");
       out.Key("heard_ms"), out.Int64((now() - e.heard) / 1000);
       out.EndObject();
--- a/src/mesh/command.cpp
+++ b/src/mesh/command.cpp
@@ -10,7 +10,7 @@
 
 #include "../locus/disk.h"
 #include "../log/log.h"
-#include "../span/span.h"
+#include "../span/address.h"
 #include "../trove/offline_reader.h"
 #include "role.h"
 
@@ -35,7 +35,7 @@
 
 std::string machine_text(const std::string& seat_address) {
   try {
-    return span::text_of(rumour::Machine(std::stoul(seat_address)));
+    return span::format_address(rumour::Machine(std::stoul(seat_address)));
   } catch (const std::exception&) {
     return seat_address;
   }
@@ -54,7 +54,7 @@
         const locus::Own& own = *kept.own;
         std::size_t dropped = 0;
         for (const auto& i : kept.items) dropped += i.dropped;
-        fmt::print("store {} of {}, counter {}, {} bytes\n", own.store, span::text_of(own.machine),
+        fmt::print("store {} of {}, counter {}, {} bytes\n", own.store, span::format_address(own.machine),
                    own.counter, look.size_on_disk);
         fmt::print("number {} by {}, floor {}; {} items, {} dropped\n", own.holds.number,
                    own.holds.by.empty() ? "nobody" : own.holds.by, own.floor, kept.items.size() - dropped,
--- a/src/mesh/locus.cpp
+++ b/src/mesh/locus.cpp
@@ -32,7 +32,7 @@
       : Role(std::move(s), std::move(path), true),
         sockets_(std::max(32, settings.file_limit - 264)),
         trove_(std::move(trove)),
-        keep_(span::machine_of(settings.ip), creed_, rumour_, *trove_,
+        keep_(span::parse_address(settings.ip), creed_, rumour_, *trove_,
               (std::uint64_t(chance_of(settings)) << 32) | chance_of(settings), {settings.contact}),
         control_(io_, sockets_, call_limits, {.wait = 30s, .for_who_waits = true}),
         wakes_(io_),
@@ -160,7 +160,7 @@
       epoch_ = keep_.voters().version;
       std::string who;
       for (const auto& s : keep_.voters().all())
-        who += fmt::format(" {}", span::text_of(rumour::Machine(std::stoul(s.address))));
+        who += fmt::format(" {}", span::format_address(rumour::Machine(std::stoul(s.address))));
       chronicle_.append(event::voters, now(),
                         fmt::format("epoch={} changing={} who={}", epoch_, keep_.voters().changing(), who));
     }
@@ -218,15 +218,15 @@
     out.Key("floor"), out.Uint64(creed_.floor());
     out.Key("items"), out.Uint64(creed_.items().size());
     out.Key("orders"), out.Uint64(keep_.orders());
-    out.Key("datagrams"), out.Uint64(span_->sent);
-    out.Key("datagram_bytes"), out.Uint64(span_->sent_bytes);
+    out.Key("datagrams"), out.Uint64(span_->datagrams_sent);
+    out.Key("datagram_bytes"), out.Uint64(span_->bytes_sent);
     out.Key("core"), out.StartArray();
-    for (const auto m : rumour_.cores()) out.String(span::text_of(m).c_str());
+    for (const auto m : rumour_.cores()) out.String(span::format_address(m).c_str());
     out.EndArray();
     out.Key("peers"), out.StartArray();
     for (const auto& [m, p] : keep_.peers()) {
       out.StartObject();
-      out.Key("machine"), out.String(span::text_of(m).c_str());
+      out.Key("machine"), out.String(span::format_address(m).c_str());
       out.Key("store"), out.String(p.told.store.c_str());
       out.Key("number"), out.Uint64(p.told.holds.number);
       out.Key("votes"), out.Bool(p.told.votes);
@@ -239,7 +239,7 @@
     out.Key("members"), out.StartArray();
     for (const auto& [m, e] : rumour_.roll().entries()) {
       out.StartObject();
-      out.Key("machine"), out.String(span::text_of(m).c_str());
+      out.Key("machine"), out.String(span::format_address(m).c_str());
       out.Key("zone"), out.String(e.record.zone.c_str());
       out.Key("state"), out.String(e.record.lapsed ? "lapsed" : e.record.leaving ? "leaving" : "member");
       out.Key("server"), out.String(e.record.server.c_str());
--- a/src/mesh/role.cpp
+++ b/src/mesh/role.cpp
@@ -37,7 +37,7 @@
 
 std::vector<rumour::Machine> machines_of(const std::vector<std::string>& addresses) {
   std::vector<rumour::Machine> found;
-  for (const auto& a : addresses) found.push_back(span::machine_of(a));
+  for (const auto& a : addresses) found.push_back(span::parse_address(a));
   return found;
 }
 
@@ -52,7 +52,7 @@
         if (log::writes(log::part::node, l))
           log::write(log::part::node, l, fmt::format("E{} {}", int(e.number), e.text));
       }),
-      rumour_({span::machine_of(settings.ip), settings.zone, core}, life(), machines_of(settings.seeds),
+      rumour_({span::parse_address(settings.ip), settings.zone, core}, life(), machines_of(settings.seeds),
               creed_, chance_of(settings)),
       begun_(now()),
       lookout_(ground::path_told(path), core),
@@ -69,19 +69,20 @@
 }
 
 trove::result<void> Role::open() {
-  BOOST_LEAF_ASSIGN(span_, span::Udp::open(io_, span::machine_of(settings.ip), settings.inner_port));
+  BOOST_LEAF_ASSIGN(span_,
+                    span::UdpTransport::open(io_, span::parse_address(settings.ip), settings.inner_port));
   return {};
 }
 
 void Role::begin() {
-  span_->listen([this](rumour::Machine from, std::string_view datagram) { heard(from, datagram); });
+  span_->set_handler([this](rumour::Machine from, std::string_view datagram) { heard(from, datagram); });
   last_tick_ = now();
   signals();
   tick();
 }
 
 void Role::send(const rumour::Outbox& out) {
-  const rumour::Machine self = span::machine_of(settings.ip);
+  const rumour::Machine self = span::parse_address(settings.ip);
   for (const auto& d : out)
     if (d.to == self)
       asio::post(io_,
--- a/src/mesh/role.h
+++ b/src/mesh/role.h
@@ -11,7 +11,8 @@
 #include "../creed/creed.h"
 #include "../ground/ground.h"
 #include "../rumour/rumour.h"
-#include "../span/udp.h"
+#include "../span/address.h"
+#include "../span/udp_transport.h"
 #include "lookout.h"
 
 namespace robinpin::mesh {
@@ -57,7 +58,7 @@
   chronicle::Chronicle chronicle_;
   creed::Creed creed_;
   rumour::Rumour rumour_;
-  std::unique_ptr<span::Udp> span_;
+  std::unique_ptr<span::UdpTransport> span_;
   const std::int64_t begun_;
 
  private:
--- a/tests/mesh/carry_test.cpp
+++ b/tests/mesh/carry_test.cpp
@@ -6,7 +6,7 @@
 #include "../../src/ambit/carry.h"
 #include "../../src/net/listening.h"
 #include "../../src/port/port.h"
-#include "../../src/span/span.h"
+#include "../../src/span/address.h"
 #include "help.h"
 
 #include <CppUTest/TestHarness.h>
@@ -261,7 +261,7 @@
                             path, ++number_, body.size()),
                 body);
   }
-  static rumour::Machine machine(int i) { return span::machine_of(fmt::format("127.0.22.{}", i + 1)); }
+  static rumour::Machine machine(int i) { return span::parse_address(fmt::format("127.0.22.{}", i + 1)); }
   std::function<void()> meanwhile;  // after each turn of a call
 
   asio::io_context io;
@@ -282,7 +282,7 @@
     for (int i = 0; i < n; ++i) {
       nodes_.push_back(std::make_unique<Node>(io));
       Node& node = *nodes_.back();
-      node.settings.ip = span::text_of(machine(i));
+      node.settings.ip = span::format_address(machine(i));
       node.settings.zone = "z";
       node.settings.target = "caller";
       node.settings.retry_ratio = 0.2, node.settings.retry_slack = 60;
--- a/tests/mesh/contract_test.cpp
+++ b/tests/mesh/contract_test.cpp
@@ -5,8 +5,9 @@
 #include <sstream>
 
 #include "../../src/chronicle/chronicle.h"
-#include "../../src/span/memory.h"
-#include "../../src/span/udp.h"
+#include "../../src/span/address.h"
+#include "../../src/span/simulated_network.h"
+#include "../../src/span/udp_transport.h"
 #include "../../src/trove/leveldb_store.h"
 #include "../../src/trove/memory_store.h"
 #include "help.h"
@@ -55,11 +56,11 @@
 }
 
 // What every span must do: `run` lets time pass until what is under way has come.
-void carries(span::Span& a, span::Machine at_a, span::Span& b, span::Machine at_b,
+void carries(span::DatagramTransport& a, span::Machine at_a, span::DatagramTransport& b, span::Machine at_b,
              const std::function<void(const std::function<bool()>&)>& run) {
   std::vector<std::pair<span::Machine, std::string>> to_a, to_b;
-  a.listen([&](span::Machine from, std::string_view d) { to_a.emplace_back(from, d); });
-  b.listen([&](span::Machine from, std::string_view d) { to_b.emplace_back(from, d); });
+  a.set_handler([&](span::Machine from, std::string_view d) { to_a.emplace_back(from, d); });
+  b.set_handler([&](span::Machine from, std::string_view d) { to_b.emplace_back(from, d); });
   const std::string odd("\0\xff\r\n", 4);
   a.send(at_b, odd);
   a.send(at_b, std::string(1'200, 'y'));
@@ -123,20 +124,20 @@
 TEST_GROUP(Span){};
 
 TEST(Span, in_memory_carries_bytes_whole_and_tells_from_whom) {
-  span::Net net(1);
-  span::Memory a(net, 1), b(net, 2);
-  carries(a, 1, b, 2, [&](const auto&) { net.run(1'000'000); });
+  span::SimulatedNetwork net(1);
+  span::SimulatedTransport a(net, 1), b(net, 2);
+  carries(a, 1, b, 2, [&](const auto&) { net.advance_to(1'000'000); });
 }
 
 TEST(Span, over_udp_carries_bytes_whole_and_tells_from_whom) {
   asio::io_context io;
-  std::unique_ptr<span::Udp> a, b;
-  const auto at_a = span::machine_of("127.0.21.1"), at_b = span::machine_of("127.0.21.2");
+  std::unique_ptr<span::UdpTransport> a, b;
+  const auto at_a = span::parse_address("127.0.21.1"), at_b = span::parse_address("127.0.21.2");
   for (std::uint16_t port = 21'000; !b && port < 21'400; ++port) {  // one that is free at both
     a.reset();
     trouble_of<void>([&]() -> trove::result<void> {
-      BOOST_LEAF_ASSIGN(a, span::Udp::open(io, at_a, port));
-      BOOST_LEAF_ASSIGN(b, span::Udp::open(io, at_b, port));
+      BOOST_LEAF_ASSIGN(a, span::UdpTransport::open(io, at_a, port));
+      BOOST_LEAF_ASSIGN(b, span::UdpTransport::open(io, at_b, port));
       return {};
     });
   }
@@ -148,16 +149,18 @@
 
 TEST(Span, a_taken_address_is_told_with_step_and_peer) {
   asio::io_context io;
-  const auto at = span::machine_of("127.0.21.3");
-  std::unique_ptr<span::Udp> a;
+  const auto at = span::parse_address("127.0.21.3");
+  std::unique_ptr<span::UdpTransport> a;
   std::string why;
   for (std::uint16_t port = 21'400; why.empty() && port < 21'800; ++port) {
     a.reset();
     trouble_of<void>([&]() -> trove::result<void> {
-      BOOST_LEAF_ASSIGN(a, span::Udp::open(io, at, port));
+      BOOST_LEAF_ASSIGN(a, span::UdpTransport::open(io, at, port));
       return {};
     });
-    if (a) why = trouble_of<std::unique_ptr<span::Udp>>([&] { return span::Udp::open(io, at, port); });
+    if (a)
+      why = trouble_of<std::unique_ptr<span::UdpTransport>>(
+          [&] { return span::UdpTransport::open(io, at, port); });
   }
   CHECK(why.starts_with("bind|127.0.21.3:"));
 }
--- a/tests/mesh/fleet.h
+++ b/tests/mesh/fleet.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "../../src/locus/keep.h"
-#include "../../src/span/memory.h"
+#include "../../src/span/simulated_network.h"
 #include "../../src/trove/memory_store.h"
 #include "help.h"
 
@@ -27,7 +27,7 @@
     std::uint64_t life = 0;
     std::int64_t ticked = 0;
     // One life's:
-    std::unique_ptr<span::Memory> span;
+    std::unique_ptr<span::SimulatedTransport> span;
     std::unique_ptr<creed::Creed> creed;
     std::unique_ptr<rumour::Rumour> rumour;
     std::unique_ptr<trove::MemoryStore> trove;
@@ -60,8 +60,8 @@
       if (x.core && seeds.size() < 3) seeds.push_back(c);
     n.rumour = std::make_unique<rumour::Rumour>(rumour::Self{m, n.zone, n.core}, ++n.life, seeds, *n.creed,
                                                 chance());
-    n.span = std::make_unique<span::Memory>(net, m);
-    n.span->listen([this, m](Machine from, std::string_view bytes) { heard(m, from, bytes); });
+    n.span = std::make_unique<span::SimulatedTransport>(net, m);
+    n.span->set_handler([this, m](Machine from, std::string_view bytes) { heard(m, from, bytes); });
     n.seen.clear(), n.looked = 0;
     if (n.core) {
       n.trove = std::make_unique<trove::MemoryStore>(n.disk);
@@ -81,12 +81,12 @@
     n.frozen = false, n.waiting.clear();
   }
   void wipe(Machine m) { nodes.at(m).disk = std::make_shared<trove::MemoryStore::Disk>(); }
-  void cut(Machine a, Machine b) { net.cut.insert({a, b}), net.cut.insert({b, a}); }
+  void cut(Machine a, Machine b) { net.blocked_links.insert({a, b}), net.blocked_links.insert({b, a}); }
   void cut_off(Machine m) {
     for (const auto& [o, n] : nodes)
       if (o != m) cut(m, o);
   }
-  void join() { net.cut.clear(); }
+  void join() { net.blocked_links.clear(); }
   // A process that stands still: what comes waits in its sockets until it wakes, and then comes before its
   // clocks are looked at.
   void freeze(Machine m) { nodes.at(m).frozen = true; }
@@ -98,7 +98,7 @@
 
   void run(std::int64_t span) {
     for (const std::int64_t until = net.now + span; net.now < until;) {
-      net.run(std::min(until, net.now + 10'000));
+      net.advance_to(std::min(until, net.now + 10'000));
       for (auto& [m, n] : nodes) {
         if (!n.up() || n.frozen) continue;
         const bool ticks = net.now >= n.ticked + 50'000;
@@ -144,7 +144,7 @@
     called(m, n, [&](rumour::Outbox& out) { n.rumour->state(net.now, r, out); });
   }
 
-  span::Net net;
+  span::SimulatedNetwork net;
   std::map<Machine, Node> nodes;
   std::mt19937 chance;
   std::vector<std::string> faults;  // what may never be
--- a/tests/mesh/fleet_test.cpp
+++ b/tests/mesh/fleet_test.cpp
@@ -47,7 +47,7 @@
 
 TEST(Fleet, a_change_reaches_all_of_15_though_a_tenth_of_the_datagrams_is_lost_or_doubled) {
   Fleet f(12, 3, 1);
-  f.net.loss = f.net.doubled = 0.1;
+  f.net.loss_probability = f.net.duplication_probability = 0.1;
   CHECK_EQUAL(200, f.settled(core(0), What::adjust, first_call("00000007")));
   f.run(2 * second);
   CHECK_EQUAL(15, f.with("c/r0", 7));
@@ -125,7 +125,7 @@
 TEST(Fleet, of_two_operators_with_one_version_one_is_confirmed_and_what_was_confirmed_stands) {
   for (std::uint32_t seed = 20; seed < 40; ++seed) {
     Fleet f(4, 3, seed);
-    f.net.loss = f.net.doubled = 0.05;
+    f.net.loss_probability = f.net.duplication_probability = 0.05;
     CHECK_EQUAL(200, f.settled(core(0), What::adjust, first_call("00000007")));
     const char* const words[] = {"one", "two"};
     const auto a = f.order(core(0), What::adjust, one_route("0000000a", words[0]));
@@ -221,8 +221,8 @@
   const std::string store = voter.store();
   const std::uint64_t next = voter.number() + 1;
   std::vector<consensus::Reply> replies;
-  span::Memory proposer(f.net, 77);
-  proposer.listen([&](Machine, std::string_view bytes) {
+  span::SimulatedTransport proposer(f.net, 77);
+  proposer.set_handler([&](Machine, std::string_view bytes) {
     if (const auto a = locus::read_whole<locus::Answering>(bytes)) replies.push_back(a->reply);
   });
   const auto asked = [&](consensus::phase what, std::uint64_t round, const std::string& text = {},
@@ -336,8 +336,8 @@
   f.cut(core(2), core(0)), f.cut(core(2), core(1));  // ... which hears none of the others
   f.run(second);
   CHECK_FALSE(f.nodes.at(ambit(0)).rumour->caught_up());
-  f.net.cut.erase({core(2), core(0)}),
-      f.net.cut.erase({core(0), core(2)});  // now it does: by its word alone, and by nothing older
+  f.net.blocked_links.erase({core(2), core(0)}),
+      f.net.blocked_links.erase({core(0), core(2)});  // now it does: by its word alone, and by nothing older
   for (int i = 0; i < 40 && !f.nodes.at(ambit(0)).rumour->caught_up(); ++i) f.run(50'000);
   CHECK(f.nodes.at(ambit(0)).rumour->caught_up());
   CHECK_EQUAL(9, f.nodes.at(ambit(0)).creed->find("c/r0")->version);
@@ -351,7 +351,8 @@
   for (std::uint32_t seed = 300; seed < 400; ++seed) {
     Fleet f(1 + int(seed % 3), 3, seed);
     const auto hears_stale = [&] {
-      f.cut_off(core(2)), f.net.cut.erase({core(2), ambit(0)}), f.net.cut.erase({ambit(0), core(2)});
+      f.cut_off(core(2)), f.net.blocked_links.erase({core(2), ambit(0)}),
+          f.net.blocked_links.erase({ambit(0), core(2)});
     };
     CHECK_EQUAL(200, f.settled(core(0), What::adjust, first_call("00000007")));
     f.run(second);
@@ -398,7 +399,7 @@
 TEST(Fleet, a_core_replaced_at_a_new_address_votes_before_the_next_loss_and_the_old_one_never_again) {
   for (std::uint32_t seed = 600; seed < 620; ++seed) {
     Fleet f(2, 3, seed);
-    f.net.loss = 0.03;
+    f.net.loss_probability = 0.03;
     CHECK_EQUAL(200, f.settled(core(0), What::adjust, first_call("00000007")));
     const Machine gone = core(int(seed % 3)), next = core(int((seed + 1) % 3)),
                   last = core(int((seed + 2) % 3)), fresh = core(9);
@@ -445,9 +446,9 @@
     f.run(4 * second);
     CHECK(f.nodes.at(core(3)).keep->votes());
     for (const int there : {0, 3}) f.cut(core(1), core(there));
-    for (auto it = f.net.cut.begin(); it != f.net.cut.end();)
+    for (auto it = f.net.blocked_links.begin(); it != f.net.blocked_links.end();)
       if (std::set<Machine>{it->first, it->second} == std::set<Machine>{core(1), core(2)})
-        it = f.net.cut.erase(it);
+        it = f.net.blocked_links.erase(it);
       else
         ++it;
     f.deaf = true;
@@ -590,7 +591,7 @@
 TEST(Fleet, the_core_grows_to_four_and_five_and_back_to_three_and_bears_losses_at_each_size) {
   for (std::uint32_t seed = 1; seed <= 6; ++seed) {
     Fleet f(3, 3, 800 + seed);
-    f.net.loss = 0.02;
+    f.net.loss_probability = 0.02;
     CHECK_EQUAL(200, f.settled(core(0), What::adjust, first_call("00000007")));
     for (const int i : {3, 4}) f.add(core(i), true, i), f.start(core(i));
     std::uint64_t version = 7;
@@ -693,7 +694,7 @@
     f.kill(core(2));
     if (seed % 2) f.wipe(core(2));  // all of it, or what it missed
     CHECK_EQUAL(200, taken(f, core(0), What::adjust, first_call("00000008", 1'200)));
-    f.net.loss = f.net.doubled = 0.1;
+    f.net.loss_probability = f.net.duplication_probability = 0.1;
     f.start(core(2));
     for (int i = 0; i < 300 && f.nodes.at(core(2)).keep->number() < f.nodes.at(core(0)).keep->number(); ++i)
       f.run(100'000);
@@ -738,9 +739,9 @@
     Fleet f(ambits, 3, 14);
     CHECK_EQUAL(200, f.settled(core(0), What::adjust, first_call("00000007")));
     f.run(5 * second);
-    const auto before = f.net.bytes;
+    const auto before = f.net.bytes_sent;
     f.run(10 * second);
-    cost[i] = double(f.net.bytes - before) / 10 / (ambits + 3);
+    cost[i] = double(f.net.bytes_sent - before) / 10 / (ambits + 3);
   }
   CHECK(cost[0] < 2500);  // bytes a second sent by each, both ways of a digest
   CHECK(cost[1] < 1.2 * cost[0]);
@@ -755,11 +756,11 @@
   for (auto& [m, n] : f.nodes) f.kill(m);
   f.run(second);
   for (auto& [m, n] : f.nodes) f.start(m);
-  const auto before = f.net.sent, bytes = f.net.bytes;
+  const auto before = f.net.datagrams_sent, bytes = f.net.bytes_sent;
   f.run(2 * second);
   for (const auto& [m, n] : f.nodes) CHECK(n.core || n.rumour->caught_up());
-  CHECK(f.net.sent - before < 89 * 500);
-  CHECK(f.net.bytes - bytes < 89 * 160'000);
+  CHECK(f.net.datagrams_sent - before < 89 * 500);
+  CHECK(f.net.bytes_sent - bytes < 89 * 160'000);
   CHECK_EQUAL(200, f.settled(core(1), What::read));
 }
 
@@ -770,7 +771,7 @@
   const auto play = [](int ambits, int cores, std::uint32_t seed, int rounds) {
     Fleet f(ambits, cores, seed);
     std::mt19937 chance(seed * 7 + 1);
-    f.net.loss = 0.05, f.net.doubled = 0.02;
+    f.net.loss_probability = 0.05, f.net.duplication_probability = 0.02;
     CHECK_EQUAL(200, f.settled(core(0), What::adjust, first_call("00000001", 6)));
     std::map<std::string, std::uint64_t> acknowledged;
     std::uint64_t version = 1;
--- a/tests/mesh/rumour_test.cpp
+++ b/tests/mesh/rumour_test.cpp
@@ -2,7 +2,7 @@
 #include <functional>
 
 #include "../../src/rumour/rumour.h"
-#include "../../src/span/memory.h"
+#include "../../src/span/simulated_network.h"
 #include "help.h"
 
 #include <CppUTest/TestHarness.h>
@@ -25,7 +25,7 @@
     std::size_t taken = 0;  // changes, at a core
     std::unique_ptr<creed::Creed> creed;
     std::unique_ptr<rumour::Rumour> rumour;
-    std::unique_ptr<span::Memory> span;
+    std::unique_ptr<span::SimulatedTransport> span;
     std::map<std::string, std::uint64_t>
         lost;  // names that went without a tombstone in this life, with their numbers
     std::map<std::string, std::uint64_t> held;
@@ -53,8 +53,8 @@
         std::make_unique<rumour::Rumour>(rumour::Self{m, std::string("zone-") + char('a' + m % 3), n.core},
                                          ++n.life, seeds, *n.creed, chance());
     n.rumour->whole(n.core);
-    n.span = std::make_unique<span::Memory>(net, m);
-    n.span->listen([this, m](Machine from, std::string_view bytes) {
+    n.span = std::make_unique<span::SimulatedTransport>(net, m);
+    n.span->set_handler([this, m](Machine from, std::string_view bytes) {
       act(m, [&](rumour::Outbox& out) { nodes.at(m).rumour->heard(net.now, from, bytes, out); });
     });
     n.lost.clear(), n.held.clear(), n.looked = 0;
@@ -92,7 +92,7 @@
     settled.let_go(floor), changes.push_back({{}, floor}), catch_up();
   }
 
-  void cut(Machine a, Machine b) { net.cut.insert({a, b}), net.cut.insert({b, a}); }
+  void cut(Machine a, Machine b) { net.blocked_links.insert({a, b}), net.blocked_links.insert({b, a}); }
   void cut_off(
       Machine m, const std::function<bool(Machine)>& but = [](Machine) { return false; }) {
     for (const auto& [o, n] : nodes)
@@ -100,7 +100,7 @@
   }
   void run(std::int64_t span) {
     for (const std::int64_t until = net.now + span; net.now < until;) {
-      net.run(std::min(until, net.now + 50'000));
+      net.advance_to(std::min(until, net.now + 50'000));
       for (auto& [m, n] : nodes)
         if (n.rumour) act(m, [&, r = n.rumour.get()](rumour::Outbox& out) { r->tick(net.now, out); });
     }
@@ -117,7 +117,7 @@
     return count;
   }
 
-  span::Net net;
+  span::SimulatedNetwork net;
   std::map<Machine, Node> nodes;
   std::set<Machine> stale;  // cores that take no changes
   creed::Creed settled;
@@ -186,16 +186,16 @@
       for (int i = 0; i < members; ++i)
         if (news.records.push_back(record_of(ambit(i))); news.records.size() == 100 || i + 1 == members)
           r->heard(0, 1, rumour::written(rumour::kind::news, std::exchange(news, {})), out);
-      net.heard[m] = [this, m](Machine from, std::string_view bytes) {
+      net.handlers[m] = [this, m](Machine from, std::string_view bytes) {
         act(m, [&](rumour::Outbox& o) { cores_.at(m)->heard(net.now, from, bytes, o); });
       };
     }
   }
   void run(std::int64_t span) {
     for (const std::int64_t until = net.now + span; net.now < until;) {
-      net.run(net.now + 50'000);
+      net.advance_to(net.now + 50'000);
       for (auto& [m, r] : cores_)
-        if (net.heard.contains(m)) act(m, [&](rumour::Outbox& o) { r->tick(net.now, o); });
+        if (net.handlers.contains(m)) act(m, [&](rumour::Outbox& o) { r->tick(net.now, o); });
       const auto step = std::size_t(net.now / 50'000);
       std::vector<std::string> bytes;
       for (auto& [m, r] : cores_)
@@ -206,9 +206,10 @@
         if (const std::size_t turn = (i / 10 + step / 10) % bytes.size();
             !silent[i] && (!bound[i] || turn == 0)) {
           const double loss = std::exchange(
-              net.loss, bound[i] ? 0 : net.loss);  // theirs all come: what cores tell of them may be lost
+              net.loss_probability,
+              bound[i] ? 0 : net.loss_probability);  // theirs all come: what cores tell of them may be lost
           net.send(ambit(int(i)), core(int(turn)), bytes[turn]);
-          net.loss = loss;
+          net.loss_probability = loss;
         }
     }
   }
@@ -220,10 +221,10 @@
   std::size_t lapsed() const {
     std::size_t count = 0;
     for (const auto& [m, r] : cores_)
-      if (net.heard.contains(m)) count += lapsed(m);
+      if (net.handlers.contains(m)) count += lapsed(m);
     return count;
   }
-  span::Net net;
+  span::SimulatedNetwork net;
   std::vector<bool> silent, bound;  // by member; to the first core
   std::size_t longest = 0, most_leases = 0, strangers = 0, leases_told = 0;
 
@@ -355,7 +356,7 @@
   t.run(10 * second);  // it has all from a member that is caught up
   CHECK(t.creed(ambit(0)).items() == t.settled.items());
   CHECK_FALSE(t.rumour(ambit(0)).caught_up());
-  t.net.cut.clear(), t.cut_off(ambit(0), [](Machine m) { return m == core(1); });
+  t.net.blocked_links.clear(), t.cut_off(ambit(0), [](Machine m) { return m == core(1); });
   t.run(1'900'000);  // a calm pause between two asks
   CHECK(t.rumour(ambit(0)).caught_up());
 }
@@ -367,7 +368,7 @@
     for (int i = 0; i < 300; ++i) t.settle("c/" + std::to_string(i), i % 3 == 0);
     t.let_go(200);
     t.run(10 * second + seed * 50'000);
-    t.net.cut.clear();
+    t.net.blocked_links.clear();
     t.run(2'200'000);  // a calm pause between two asks, and short ones
     CHECK(t.rumour(ambit(0)).caught_up() && t.agree());
   }
@@ -391,20 +392,20 @@
     t.settle("c/1"), t.settle("c/more");
     t.run(2 * second);
     CHECK_EQUAL(2, t.standing("c/old"));
-    t.net.cut.clear();
+    t.net.blocked_links.clear();
     // The two that were away and others among themselves first: nobody else takes it.
     const auto no_core = [](Machine m) { return m >= 1000; };
     t.cut_off(ambit(0), no_core), t.cut_off(ambit(1), no_core);
     t.run(2 * second);
     CHECK(t.standing("c/old") <= 2);
-    t.net.cut.clear();
+    t.net.blocked_links.clear();
     if (seed % 3 == 0)
       t.cut_off(ambit(1), no_core);  // one of them stays so, and hands over what the other loses
     t.run(two_rounds);
     CHECK_FALSE(t.creed(ambit(0)).find("c/old"));
     CHECK(t.creed(ambit(0)).items() == t.settled.items());
     CHECK_EQUAL(t.settled.floor(), t.creed(ambit(0)).floor());
-    t.net.cut.clear();
+    t.net.blocked_links.clear();
     t.run(two_rounds);
     CHECK(t.agree());
     for (const auto& f : t.faults) FAIL(f.c_str());
@@ -474,7 +475,7 @@
   for (int i = 0; i < 20; ++i)
     t.creed(ambit(0)).take(
         {"c/late" + std::to_string(i), 1, false, "{}", t.settle("c/late" + std::to_string(i))});
-  t.net.cut.clear(), t.cut(ambit(0), core(0)), t.cut(core(0), core(1));
+  t.net.blocked_links.clear(), t.cut(ambit(0), core(0)), t.cut(core(0), core(1));
   t.run(two_rounds);
   CHECK_FALSE(t.creed(ambit(0)).find("c/gone"));
   CHECK(t.creed(ambit(0)).stands("c/set-again") && t.creed(ambit(0)).stands("c/stays") &&
@@ -488,13 +489,13 @@
   t.cut_off(ambit(0));
   for (int i = 1; i < 2'500; i += 5) t.settle("c/" + std::to_string(i), true, {}, false);
   t.let_go(2'900);
-  t.net.cut.clear();
+  t.net.blocked_links.clear();
   t.run(two_rounds);
   CHECK(t.agree());
   t.watches = false;
   t.cut_off(ambit(0));
   for (int i = 0; i < 20'000; i += 2) t.settle("c/" + std::to_string(i), false, "{}", false);
-  t.net.cut.clear();
+  t.net.blocked_links.clear();
   t.run(4 * second);
   CHECK(t.agree());
   for (const auto& f : t.faults) FAIL(f.c_str());
@@ -503,16 +504,16 @@
 TEST(Rumour, of_6000_members_none_lapses_while_a_twentieth_is_lost_and_none_stays_that_is_silent) {
   for (const auto& [members, cores] : {std::pair(6'000, 3), std::pair(1'200, 7)}) {
     Leases l(members, cores, 6);
-    l.net.loss = 0.05;
+    l.net.loss_probability = 0.05;
     for (std::size_t i = 0; i < 300; ++i)
       l.bound[i] = true;  // heard by one core alone, in its turn: the others are told
     l.run(9 * second);
     CHECK_EQUAL(0, l.lapsed());
-    l.net.cut = {{core(0), core(1)}, {core(1), core(0)}};  // and one of those by a third only
+    l.net.blocked_links = {{core(0), core(1)}, {core(1), core(0)}};  // and one of those by a third only
     l.run(6 * second);
     CHECK_EQUAL(0, l.lapsed());
-    l.net.cut.clear();
-    l.net.heard.erase(core(2));  // one is down, and is told in its turn all the same
+    l.net.blocked_links.clear();
+    l.net.handlers.erase(core(2));  // one is down, and is told in its turn all the same
     l.run(6 * second);
     CHECK_EQUAL(0, l.lapsed());
     for (std::size_t i = 0; i < 50; ++i) l.silent[300 + 10 * i] = true;
@@ -617,7 +618,7 @@
       if (i % 40 != c)
         t.rumour(core(c)).heard(
             0, 1, rumour::written(rumour::kind::news, rumour::News{{}, {record_of(ambit(i))}, 0}), out);
-  t.net.cut.clear();
+  t.net.blocked_links.clear();
   const auto before = t.sent[rumour::kind::news];
   t.run(4 * second);
   CHECK(t.rumour(core(0)).roll().digest() == t.rumour(core(1)).roll().digest());
@@ -633,7 +634,7 @@
   for (std::uint32_t seed = 1000; seed < 1100; ++seed) {
     Town t(5, 3, seed);
     std::mt19937 chance(seed);
-    t.net.loss = 0.05, t.net.doubled = 0.02;
+    t.net.loss_probability = 0.05, t.net.duplication_probability = 0.02;
     const auto any = [&](std::uint32_t n) { return int(chance() % n); };
     for (int step = 0; step < 60; ++step) {
       switch (any(9)) {
@@ -651,7 +652,7 @@
           t.cut_off(any(4) ? ambit(any(5)) : core(any(3)));
           break;
         case 6:
-          t.net.cut.clear();
+          t.net.blocked_links.clear();
           break;
         case 7: {
           const Machine m = ambit(any(5));
@@ -669,7 +670,7 @@
       }
       t.run(std::int64_t(chance() % 400'000));
     }
-    t.net.cut.clear(), t.net.loss = 0;
+    t.net.blocked_links.clear(), t.net.loss_probability = 0;
     t.stale.clear(), t.catch_up();
     for (int i = 0; i < 3; ++i) t.rumour(core(i)).whole(true);
     t.run(4 * second);  // two calm pauses of one that begins
