--- a/src/mesh/ambit.cpp
+++ b/src/mesh/ambit.cpp
@@ -18,7 +18,7 @@
 
 using namespace std::chrono_literals;
 using asio::awaitable;
-using chronicle::event;
+using chronicle::EventType;
 
 constexpr codec::Limits call_limits = {16 * 1024, 64 * 1024}, caller_limits = {64 * 1024, 64 * 1024 * 1024};
 constexpr int beats_missed = 4;  // then the server beside this node is taken to be gone
@@ -52,7 +52,7 @@
     readiness_.listen(node::endpoint_of(settings.ports.at("readiness")));
     node::listen_at(outbound_, node::endpoint_of(settings.ports.at("outbound")), 1024);
     node::listen_at(inbound_, node::endpoint_of(settings.ports.at("inbound")), 1024);
-    chronicle_.append(event::began, now(),
+    chronicle_.append(EventType::role_started, now(),
                       fmt::format("role=ambit node={} target={}", settings.node, settings.target));
     control_.run();
     readiness_.run();
@@ -80,10 +80,10 @@
     const bool drained = door.has_server() && door.server().draining;
     if (!door.beat(now(), s, b.warmup_left)) return {};
     if (before != b.id)
-      chronicle_.append(event::server_up, now(),
+      chronicle_.append(EventType::server_up, now(),
                         fmt::format("id={} service={} cold_ms={}", b.id, b.target, b.warmup_left / 1000));
     if (door.server().draining && !(drained && before == b.id))
-      chronicle_.append(event::server_draining, now(), fmt::format("id={}", b.id));
+      chronicle_.append(EventType::server_draining, now(), fmt::format("id={}", b.id));
     publish();
     return {};  // from here on this gate lets nothing new through to one that drains, and the word of it is
                 // out
@@ -91,7 +91,7 @@
 
   port::Done left(const port::Departure& d) {
     hand_.door().departed(d.id);
-    chronicle_.append(event::server_gone, now(), fmt::format("id={} how=departed", d.id));
+    chronicle_.append(EventType::server_down, now(), fmt::format("id={} how=departed", d.id));
     publish();
     return {};
   }
@@ -132,7 +132,8 @@
                      item.dropped ? " dropped" : "", item.text);
       const bool emptied = plan_->emptied.contains(settings.zone);
       if (emptied != was_emptied) {
-        chronicle_.append(emptied ? event::zone_emptied : event::zone_back, now(), settings.zone);
+        chronicle_.append(emptied ? EventType::zone_evacuated : EventType::zone_restored, now(),
+                          settings.zone);
         // Its servers may have turned cold meanwhile: until the next beat tells it is taken to be.
         if (!emptied) hand_.door().doubt_until(now() + settings.beat_period + 500'000);
       }
@@ -151,7 +152,7 @@
     carry_.ready(is);
     if ((is && !ending_) != is_ready_) {
       is_ready_ = is && !ending_;
-      chronicle_.append(is_ready_ ? event::ready : event::unready, now());
+      chronicle_.append(is_ready_ ? EventType::ready : EventType::not_ready, now());
     }
   }
 
@@ -168,7 +169,7 @@
     if (silent != silent_) {
       silent_ = silent;
       if (silent)
-        chronicle_.append(event::server_gone, now(), fmt::format("id={} how=silent", door.server().id));
+        chronicle_.append(EventType::server_down, now(), fmt::format("id={} how=silent", door.server().id));
       publish();
     }
     changed();
--- a/src/mesh/locus.cpp
+++ b/src/mesh/locus.cpp
@@ -21,7 +21,7 @@
 
 using namespace std::chrono_literals;
 using asio::awaitable;
-using chronicle::event;
+using chronicle::EventType;
 
 constexpr codec::Limits call_limits = {16 * 1024, 16 * 1024 * 1024};
 constexpr std::int64_t late = 150'000;  // microseconds past its time that an outcome may reach its caller
@@ -57,10 +57,10 @@
     BOOST_LEAF_CHECK(open());
     BOOST_LEAF_CHECK(keep_.begin(now(), settings.first_start, machines_of(settings.seeds)));
     control_.listen(node::endpoint_of(settings.ports.at("control")));
-    chronicle_.append(event::began, now(),
+    chronicle_.append(EventType::role_started, now(),
                       fmt::format("role=locus node={} items={}", settings.node, creed_.items().size()));
-    if (!aside_.empty()) chronicle_.append(event::disk_set_aside, now(), aside_);
-    chronicle_.append(event::copy_lacks, now());
+    if (!aside_.empty()) chronicle_.append(EventType::storage_quarantined, now(), aside_);
+    chronicle_.append(EventType::replica_stale, now());
     control_.run();
     begin();
     rumour::Outbox out;
@@ -106,15 +106,15 @@
     changed();
     const int status = wait->outcome->status;
     if (status == 503)
-      chronicle_.append(event::order_unsettled, now(), wait->outcome->body);
+      chronicle_.append(EventType::change_undecided, now(), wait->outcome->body);
     else if (status >= 400)
-      chronicle_.append(event::change_refused, now(), wait->outcome->body);
+      chronicle_.append(EventType::change_rejected, now(), wait->outcome->body);
     else if (is == locus::Order::what::adjust)
-      chronicle_.append(event::change_taken, now());
+      chronicle_.append(EventType::change_committed, now());
     else if (is == locus::Order::what::begin)
-      chronicle_.append(event::zone_emptied, now());
+      chronicle_.append(EventType::zone_evacuated, now());
     else if (is == locus::Order::what::finish)
-      chronicle_.append(event::zone_back, now());
+      chronicle_.append(EventType::zone_restored, now());
     // What was read, or refused, by then says nothing of now where this process stood still since. That a
     // change was taken stays true.
     const bool ages = status != 200 || is == locus::Order::what::read;
@@ -147,21 +147,21 @@
   void after() {
     if (keep_.failed() && !failed_) {
       failed_ = true;
-      chronicle_.append(event::disk_failed, now(),
+      chronicle_.append(EventType::storage_failed, now(),
                         trove::to_string(keep_.failed()->step) + std::string(" ") + keep_.failed()->peer +
                             ": " + keep_.failed()->reason);
       io_.stop();
     }
     if (const bool is = keep_.fresh(now()); is != was_fresh_) {
       was_fresh_ = is;
-      chronicle_.append(is ? event::copy_whole : event::copy_lacks, now());
+      chronicle_.append(is ? EventType::replica_current : EventType::replica_stale, now());
     }
     if (keep_.voters().version != epoch_) {
       epoch_ = keep_.voters().version;
       std::string who;
       for (const auto& s : keep_.voters().all())
         who += fmt::format(" {}", span::format_address(rumour::Machine(std::stoul(s.address))));
-      chronicle_.append(event::voters, now(),
+      chronicle_.append(EventType::voters_changed, now(),
                         fmt::format("epoch={} changing={} who={}", epoch_, keep_.voters().changing(), who));
     }
     if (leaving_ && keep_.may_go()) io_.stop();
--- a/src/mesh/role.cpp
+++ b/src/mesh/role.cpp
@@ -17,11 +17,11 @@
 constexpr std::int64_t leap =
     1'000'000;  // microseconds beyond its time that a tick may come before it tells of a stop
 
-log::level level_of(chronicle::event e) {
-  using chronicle::event;
-  return e == event::disk_failed || e == event::settings_faulty ? log::level::error
-         : e == event::leapt || e == event::order_unsettled || e == event::copy_lacks ||
-                 e == event::disk_set_aside
+log::level level_of(chronicle::EventType e) {
+  using chronicle::EventType;
+  return e == EventType::storage_failed || e == EventType::settings_rejected ? log::level::error
+         : e == EventType::clock_jumped || e == EventType::change_undecided ||
+                 e == EventType::replica_stale || e == EventType::storage_quarantined
              ? log::level::warning
              : log::level::info;
 }
@@ -48,9 +48,9 @@
 Role::Role(ground::Settings told, std::string path, bool core)
     : held_(std::move(told)),
       chronicle_([](const chronicle::Event& e) {
-        const auto l = level_of(e.number);
+        const auto l = level_of(e.type);
         if (log::writes(log::part::node, l))
-          log::write(log::part::node, l, fmt::format("E{} {}", int(e.number), e.text));
+          log::write(log::part::node, l, fmt::format("E{} {}", int(e.type), e.text));
       }),
       rumour_({span::parse_address(settings.ip), settings.zone, core}, life(), machines_of(settings.seeds),
               creed_, chance_of(settings)),
@@ -92,7 +92,7 @@
 }
 
 void Role::leave(int code) {
-  chronicle_.append(chronicle::event::ended, now(), fmt::format("code={}", code));
+  chronicle_.append(chronicle::EventType::process_exiting, now(), fmt::format("code={}", code));
   log::finish();
   std::_Exit(code);
 }
@@ -124,7 +124,7 @@
     const bool leapt = at - last_tick_ > leap;
     last_tick_ = at;
     if (leapt) {
-      chronicle_.append(chronicle::event::leapt, at);
+      chronicle_.append(chronicle::EventType::clock_jumped, at);
       rumour::Outbox out;
       rumour_.leapt(at, out);
       send(out);
@@ -133,7 +133,7 @@
     ticked(leapt);
     if (creed_.changes() != items_told_) {
       items_told_ = creed_.changes();
-      chronicle_.append(chronicle::event::items_taken, at,
+      chronicle_.append(chronicle::EventType::items_changed, at,
                         fmt::format("items={} changes={}", creed_.items().size(), items_told_));
     }
     tick();
@@ -147,7 +147,7 @@
         if (!next) return {};
         const bool news = *next != held_;
         held_ = std::move(*next);
-        chronicle_.append(chronicle::event::settings, now(),
+        chronicle_.append(chronicle::EventType::settings_applied, now(),
                           fmt::format("how={} changed={} seeds={}", signalled ? "signal" : "seen", news,
                                       held_.seeds.size()));
         if (!news) return {};
@@ -157,7 +157,9 @@
         switched();
         return {};
       },
-      [&](const trove::Error& t) { chronicle_.append(chronicle::event::settings_faulty, now(), t.reason); },
+      [&](const trove::Error& t) {
+        chronicle_.append(chronicle::EventType::settings_rejected, now(), t.reason);
+      },
       [] {});
 }
 
@@ -167,7 +169,7 @@
     if (signal == SIGHUP) {
       look(true);
     } else {
-      chronicle_.append(chronicle::event::ends, now());
+      chronicle_.append(chronicle::EventType::stop_requested, now());
       told_to_end();
     }
     signals();
--- a/src/mesh/role.h
+++ b/src/mesh/role.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "../chronicle/chronicle.h"
+#include "../chronicle/event_log.h"
 #include "../creed/creed.h"
 #include "../ground/ground.h"
 #include "../rumour/rumour.h"
@@ -55,7 +55,7 @@
   void changed();
 
   asio::io_context io_;
-  chronicle::Chronicle chronicle_;
+  chronicle::EventLog chronicle_;
   creed::Creed creed_;
   rumour::Rumour rumour_;
   std::unique_ptr<span::UdpTransport> span_;
--- a/tests/mesh/contract_test.cpp
+++ b/tests/mesh/contract_test.cpp
@@ -4,7 +4,7 @@
 #include <set>
 #include <sstream>
 
-#include "../../src/chronicle/chronicle.h"
+#include "../../src/chronicle/event_log.h"
 #include "../../src/span/address.h"
 #include "../../src/span/simulated_network.h"
 #include "../../src/span/udp_transport.h"
@@ -182,14 +182,14 @@
 
 TEST_GROUP(Chronicle){};
 
-TEST(Chronicle, every_event_stands_in_the_catalogue_with_its_number_and_none_else) {
+TEST(Chronicle, every_event_type_is_in_the_catalogue_with_its_number_and_no_other_is) {
   const auto text = [](const char* path) {
     std::ifstream in(path);
     std::stringstream s;
     s << in.rdbuf();
     return s.str();
   };
-  const std::string header = text(ROBINPIN_SOURCE "/src/chronicle/chronicle.h"),
+  const std::string header = text(ROBINPIN_SOURCE "/src/chronicle/event_log.h"),
                     page = text(ROBINPIN_SOURCE "/docs/events.md");
   const auto found = [](const std::string& in, const std::regex& what) {
     std::set<std::string> all;
@@ -203,11 +203,11 @@
   CHECK(code == told);
 }
 
-TEST(Chronicle, the_journal_lets_the_oldest_go_and_its_view_still_counts_them) {
-  chronicle::Chronicle c;
-  for (std::size_t i = 0; i < chronicle::Chronicle::most + 10; ++i)
-    c.append(chronicle::event::leapt, std::int64_t(i));
-  CHECK_EQUAL(chronicle::Chronicle::most, c.events().size());
-  CHECK_EQUAL(10, c.events().front().at);
-  CHECK_EQUAL(chronicle::Chronicle::most + 10, c.counted().times.at(chronicle::event::leapt));
+TEST(Chronicle, the_log_drops_the_oldest_events_and_its_counters_keep_counting_them) {
+  chronicle::EventLog c;
+  for (std::size_t i = 0; i < chronicle::EventLog::capacity + 10; ++i)
+    c.append(chronicle::EventType::clock_jumped, std::int64_t(i));
+  CHECK_EQUAL(chronicle::EventLog::capacity, c.events().size());
+  CHECK_EQUAL(10, c.events().front().time);
+  CHECK_EQUAL(chronicle::EventLog::capacity + 10, c.counts().counts.at(chronicle::EventType::clock_jumped));
 }
