--- a/src/ambit/carry.h
+++ b/src/ambit/carry.h
@@ -11,7 +11,7 @@
 #include <string>
 
 #include "../creed/plan.h"
-#include "../ground/ground.h"
+#include "../ground/settings.h"
 #include "account.h"
 #include "choices.h"
 #include "hand.h"
--- a/src/ambit/choices.h
+++ b/src/ambit/choices.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "../creed/plan.h"
-#include "../ground/ground.h"
+#include "../ground/settings.h"
 #include "../node/desk.h"
 #include "../rumour/roll.h"
 
--- a/src/ambit/hand.h
+++ b/src/ambit/hand.h
@@ -10,7 +10,7 @@
 
 #include "../creed/plan.h"
 #include "../gate/gate.h"
-#include "../ground/ground.h"
+#include "../ground/settings.h"
 #include "way.h"
 
 namespace robinpin::ambit {
--- a/src/mesh/ambit.cpp
+++ b/src/mesh/ambit.cpp
@@ -135,7 +135,7 @@
         chronicle_.append(emptied ? EventType::zone_evacuated : EventType::zone_restored, now(),
                           settings.zone);
         // Its servers may have turned cold meanwhile: until the next beat tells it is taken to be.
-        if (!emptied) hand_.door().doubt_until(now() + settings.beat_period + 500'000);
+        if (!emptied) hand_.door().doubt_until(now() + settings.heartbeat_period + 500'000);
       }
     }
     carry_.servers(rumour_.roll(), now());
@@ -159,13 +159,13 @@
   void ticked(bool leapt) override {
     // Its server went on while this process stood still, and may have turned cold: taken to be until it says
     // so.
-    if (leapt) hand_.door().doubt_until(now() + settings.beat_period + 500'000);
+    if (leapt) hand_.door().doubt_until(now() + settings.heartbeat_period + 500'000);
     rumour::Outbox out;
     rumour_.tick(now(), out);
     send(out);
     const gate::Gate& door = hand_.door();
     const bool silent =
-        door.has_server() && now() - door.server().heard > beats_missed * settings.beat_period;
+        door.has_server() && now() - door.server().heard > beats_missed * settings.heartbeat_period;
     if (silent != silent_) {
       silent_ = silent;
       if (silent)
@@ -189,12 +189,12 @@
   void told_to_end() override {
     if (ending_) return;
     ending_ = true;
-    least_end_ = now() + std::min<std::int64_t>(settings.grace / 2, 3'500'000);
-    last_end_ = now() + settings.grace * 9 / 10;
-    carry_.end_by(clock_.now() + settings.grace * 8 / 10);
+    least_end_ = now() + std::min<std::int64_t>(settings.grace_period / 2, 3'500'000);
+    last_end_ = now() + settings.grace_period * 9 / 10;
+    carry_.end_by(clock_.now() + settings.grace_period * 8 / 10);
     // Callers' lists lag, and a busy process reads late: what is sent in the second half would be given up at
     // the end of it.
-    carry_.ends(clock_.now() + settings.grace * 4 / 10);
+    carry_.ends(clock_.now() + settings.grace_period * 4 / 10);
     publish();
     settle_ready();
   }
@@ -269,7 +269,7 @@
 int ambit(const Start& start) {
   std::signal(SIGPIPE, SIG_IGN);
   return run_role([&]() -> trove::result<int> {
-    BOOST_LEAF_AUTO(settings, ground::load(start.settings, false));
+    BOOST_LEAF_AUTO(settings, ground::load_settings(start.settings, ground::MachineKind::server));
     Ambit role(std::move(settings), start.settings);
     return role.run();
   });
--- a/src/mesh/command.cpp
+++ b/src/mesh/command.cpp
@@ -22,8 +22,9 @@
 int checked(const std::string& path, bool core) {
   return boost::leaf::try_handle_all(
       [&]() -> trove::result<int> {
-        BOOST_LEAF_AUTO(s, ground::load(path, core));
-        fmt::print("{}: good, {} in {}\n", ground::path_told(path), s.node, s.zone);
+        BOOST_LEAF_AUTO(
+            s, ground::load_settings(path, core ? ground::MachineKind::core : ground::MachineKind::server));
+        fmt::print("{}: good, {} in {}\n", ground::settings_path(path), s.node, s.zone);
         return good;
       },
       [](const trove::Error& t) {
--- a/src/mesh/locus.cpp
+++ b/src/mesh/locus.cpp
@@ -33,7 +33,7 @@
         sockets_(std::max(32, settings.file_limit - 264)),
         trove_(std::move(trove)),
         keep_(span::parse_address(settings.ip), creed_, rumour_, *trove_,
-              (std::uint64_t(chance_of(settings)) << 32) | chance_of(settings), {settings.contact}),
+              (std::uint64_t(chance_of(settings)) << 32) | chance_of(settings), {settings.contact_timeout}),
         control_(io_, sockets_, call_limits, {.wait = 30s, .for_who_waits = true}),
         wakes_(io_),
         aside_(std::move(aside)) {
@@ -55,7 +55,7 @@
 
   trove::result<int> run() {
     BOOST_LEAF_CHECK(open());
-    BOOST_LEAF_CHECK(keep_.begin(now(), settings.first_start, machines_of(settings.seeds)));
+    BOOST_LEAF_CHECK(keep_.begin(now(), settings.first_start, machines_of(settings.seed_nodes)));
     control_.listen(node::endpoint_of(settings.ports.at("control")));
     chronicle_.append(EventType::role_started, now(),
                       fmt::format("role=locus node={} items={}", settings.node, creed_.items().size()));
@@ -186,7 +186,7 @@
   }
 
   void learnt() override {}
-  void switched() override { keep_.seeds(machines_of(settings.seeds)); }
+  void switched() override { keep_.seeds(machines_of(settings.seed_nodes)); }
 
   // A seat that somebody can take is given up first.
   void told_to_end() override {
@@ -195,7 +195,8 @@
     rumour::Outbox out;
     keep_.leave(now(), out);
     send(out);
-    last_end_.expires_after(std::chrono::microseconds(std::min<std::int64_t>(settings.grace / 2, 2'500'000)));
+    last_end_.expires_after(
+        std::chrono::microseconds(std::min<std::int64_t>(settings.grace_period / 2, 2'500'000)));
     last_end_.async_wait([this](asio::error_code over) {
       if (!over) io_.stop();
     });
@@ -289,7 +290,7 @@
 int locus(const Start& start) {
   std::signal(SIGPIPE, SIG_IGN);
   return run_role([&]() -> trove::result<int> {
-    BOOST_LEAF_AUTO(settings, ground::load(start.settings, true));
+    BOOST_LEAF_AUTO(settings, ground::load_settings(start.settings, ground::MachineKind::core));
     std::string aside;
     BOOST_LEAF_AUTO(trove, opened(settings.data_dir + "/trove", aside));
     if (!aside.empty()) settings.first_start = false;
--- a/src/mesh/lookout.cpp
+++ b/src/mesh/lookout.cpp
@@ -24,15 +24,17 @@
   if (!signalled && !again && stamp_ == seen) return Found();
   stamp_ = seen;
   trove::Error trouble;
-  Found next =
-      boost::leaf::try_handle_all([&]() -> trove::result<Found> { return ground::load(path_, core_); },
-                                  [&](const trove::Error& t) {
-                                    trouble = t;
-                                    return Found();
-                                  },
-                                  [] { return Found(); });
+  Found next = boost::leaf::try_handle_all(
+      [&]() -> trove::result<Found> {
+        return ground::load_settings(path_, core_ ? ground::MachineKind::core : ground::MachineKind::server);
+      },
+      [&](const trove::Error& t) {
+        trouble = t;
+        return Found();
+      },
+      [] { return Found(); });
   if (next)
-    for (const auto& pointer : ground::needs_start(old, *next)) {
+    for (const auto& pointer : ground::settings_needing_restart(old, *next)) {
       trouble.step = trove::Error::Step::apply, trouble.peer = path_;
       trouble.reason += pointer + ": needs a new start\n";
     }
--- a/src/mesh/lookout.h
+++ b/src/mesh/lookout.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <tuple>
 
-#include "../ground/ground.h"
+#include "../ground/settings.h"
 
 namespace robinpin::mesh {
 
--- a/src/mesh/role.cpp
+++ b/src/mesh/role.cpp
@@ -52,10 +52,10 @@
         if (log::writes(log::part::node, l))
           log::write(log::part::node, l, fmt::format("E{} {}", int(e.type), e.text));
       }),
-      rumour_({span::parse_address(settings.ip), settings.zone, core}, life(), machines_of(settings.seeds),
-              creed_, chance_of(settings)),
+      rumour_({span::parse_address(settings.ip), settings.zone, core}, life(),
+              machines_of(settings.seed_nodes), creed_, chance_of(settings)),
       begun_(now()),
-      lookout_(ground::path_told(path), core),
+      lookout_(ground::settings_path(path), core),
       timer_(io_),
       learns_(io_),
       signals_(io_, SIGTERM, SIGINT) {
@@ -70,7 +70,7 @@
 
 trove::result<void> Role::open() {
   BOOST_LEAF_ASSIGN(span_,
-                    span::UdpTransport::open(io_, span::parse_address(settings.ip), settings.inner_port));
+                    span::UdpTransport::open(io_, span::parse_address(settings.ip), settings.internal_port));
   return {};
 }
 
@@ -149,10 +149,10 @@
         held_ = std::move(*next);
         chronicle_.append(chronicle::EventType::settings_applied, now(),
                           fmt::format("how={} changed={} seeds={}", signalled ? "signal" : "seen", news,
-                                      held_.seeds.size()));
+                                      held_.seed_nodes.size()));
         if (!news) return {};
         rumour::Outbox out;
-        rumour_.seeds(now(), machines_of(held_.seeds), out);
+        rumour_.seeds(now(), machines_of(held_.seed_nodes), out);
         send(out);
         switched();
         return {};
--- a/src/mesh/role.h
+++ b/src/mesh/role.h
@@ -9,7 +9,7 @@
 
 #include "../chronicle/event_log.h"
 #include "../creed/creed.h"
-#include "../ground/ground.h"
+#include "../ground/settings.h"
 #include "../rumour/rumour.h"
 #include "../span/address.h"
 #include "../span/udp_transport.h"
--- a/tests/mesh/creed_test.cpp
+++ b/tests/mesh/creed_test.cpp
@@ -8,7 +8,7 @@
 
 #include "../../src/creed/adjust.h"
 #include "../../src/creed/plan.h"
-#include "../../src/ground/ground.h"
+#include "../../src/ground/settings.h"
 #include "../../src/mesh/lookout.h"
 #include "help.h"
 
@@ -212,18 +212,19 @@
 
 TEST(Ground, settings_that_lack_or_contradict_something_name_every_pointer_and_reason) {
   const std::string why = trouble_of<ground::Settings>([] {
-    return ground::read(
+    return ground::parse_settings(
         R"({"ip":"10.1.0.41","zone":"z","ports":{"inbound":"10.1.0.41:8624","outbound":"10.1.0.41","readiness":"10.1.0.41:8625","control":"10.1.0.41:8620"},
       "inner_ports":[0,1],"seed_nodes":[],"first_start":"yes","application":"10.1.0.41:8628","envelope":{"drain":"2500","retry_ratio":-1}})",
-        false);
+        ground::MachineKind::server);
   });
   for (const char* fault :
        {"/ports/outbound: '10.1.0.41' is no address:port", "/inner_ports: no list",
         "/seed_nodes: names nobody", "/first_start: neither true nor false", "/target: is missing",
         "/envelope/drain: no time", "/envelope/retry_ratio: no number"})
     CHECK_TEXT(why.find(fault) != std::string::npos, fault);
-  CHECK(trouble_of<ground::Settings>([] { return ground::read("{", false); }).find("no JSON") !=
-        std::string::npos);
+  CHECK(trouble_of<ground::Settings>([] {
+          return ground::parse_settings("{", ground::MachineKind::server);
+        }).find("no JSON") != std::string::npos);
 }
 
 namespace {
@@ -242,23 +243,29 @@
   const auto with = [](const std::string& zones) {
     return settings_text({{R"("zone":"z",)", R"("zone":"z","zones":)" + zones + ","}});
   };
-  const ground::Settings none = ground::read(settings_text(), false).value(),
-                         told = ground::read(with(R"({"z":"r","y":"s"})"), false).value();
-  CHECK(none.may_be_zone("any") && ground::read(with("{}"), false).value().may_be_zone("any"));
+  const ground::Settings none = ground::parse_settings(settings_text(), ground::MachineKind::server).value(),
+                         told =
+                             ground::parse_settings(with(R"({"z":"r","y":"s"})"), ground::MachineKind::server)
+                                 .value();
+  CHECK(none.may_be_zone("any") &&
+        ground::parse_settings(with("{}"), ground::MachineKind::server).value().may_be_zone("any"));
   CHECK(told.may_be_zone("z") && told.may_be_zone("y") && !told.may_be_zone("x") && !told.may_be_zone(""));
-  CHECK(ground::read(with(R"({"y":"s"})"), false).value().may_be_zone("z"));  // its own, always
-  CHECK(told != none && ground::needs_start(none, told).empty());
+  CHECK(ground::parse_settings(with(R"({"y":"s"})"), ground::MachineKind::server)
+            .value()
+            .may_be_zone("z"));  // its own, always
+  CHECK(told != none && ground::settings_needing_restart(none, told).empty());
   for (const auto& [zones, fault] :
        std::vector<std::pair<std::string, std::string>>{{"[\"z\"]", "/zones: no map"},
                                                         {R"({"y":1})", "/zones/y: no zone"},
                                                         {R"({"":"r"})", "/zones/: no zone"}})
-    CHECK_TEXT(trouble_of<ground::Settings>([&] { return ground::read(with(zones), false); }).find(fault) !=
-                   std::string::npos,
+    CHECK_TEXT(trouble_of<ground::Settings>([&] {
+                 return ground::parse_settings(with(zones), ground::MachineKind::server);
+               }).find(fault) != std::string::npos,
                zones.c_str());
 }
 
 TEST(Ground, what_others_know_a_process_by_and_what_is_made_once_needs_a_new_start_and_nothing_else_does) {
-  const ground::Settings old = ground::read(settings_text(), false).value();
+  const ground::Settings old = ground::parse_settings(settings_text(), ground::MachineKind::server).value();
   for (const auto& [from, to, name] :
        std::vector<std::array<std::string, 3>>{{"\"n\"", "\"m\"", "/node"},
                                                {"\"r\"", "\"s\"", "/role"},
@@ -283,11 +290,12 @@
                                                {"60,", "61,", ""},
                                                {"1.5,", "1.6,", ""},
                                                {":5}", ":6}", ""}}) {
-    const ground::Settings next = ground::read(settings_text({{from, to}}), false).value();
+    const ground::Settings next =
+        ground::parse_settings(settings_text({{from, to}}), ground::MachineKind::server).value();
     CHECK_TEXT(next != old, from.c_str());
-    CHECK_TEXT(
-        ground::needs_start(old, next) == (name.empty() ? std::vector<std::string>() : std::vector{name}),
-        from.c_str());
+    CHECK_TEXT(ground::settings_needing_restart(old, next) ==
+                   (name.empty() ? std::vector<std::string>() : std::vector{name}),
+               from.c_str());
   }
 }
 
@@ -295,7 +303,7 @@
   const std::string path =
       std::string(::mkdtemp(std::string("/tmp/robinpin-settings-XXXXXX").data())) + "/local.json";
   const auto write = [&](const std::string& text) { std::ofstream(path, std::ios::trunc) << text; };
-  ground::Settings held = ground::read(settings_text(), false).value();
+  ground::Settings held = ground::parse_settings(settings_text(), ground::MachineKind::server).value();
   mesh::Lookout lookout(path, false);
   std::int64_t now = 0;
   const std::string none = "no news", taken = "taken on";
@@ -317,12 +325,12 @@
   CHECK(look(true) == taken);
   write(settings_text({{"1500ms", "1s"}}));
   CHECK(look(false, mesh::Lookout::every - 1) == none);  // it is not time yet
-  CHECK(look() == taken && held.beat_period == 1'000'000);
+  CHECK(look() == taken && held.heartbeat_period == 1'000'000);
   CHECK(look() == none);
   write(half);
   CHECK(look() == none);
   write(moved);
-  CHECK(look() == taken && held.seeds[0] == "10.1.0.47:8620");
+  CHECK(look() == taken && held.seed_nodes[0] == "10.1.0.47:8620");
   write(half);
   CHECK(look() == none);
   tells(look(), "no JSON");  // it stays so
@@ -349,9 +357,9 @@
       R"({"ip":"10.1.0.46","zone":"z","ports":{"control":"10.1.0.46:8620"},"inner_ports":[7600,7615],"seed_nodes":["10.1.0.46:8620"],
     "first_start":true,"data_dir":"/data/x","moon":{"phase":1},"envelope":{"grace_period":"2.5s","tide":"3s"}})";
   STRCMP_EQUAL("", trouble_of<ground::Settings>([&]() -> trove::result<ground::Settings> {
-                     BOOST_LEAF_AUTO(s, ground::read(text, true));
-                     CHECK_EQUAL(2'500'000, s.grace);
-                     CHECK_EQUAL(7600, s.inner_port);
+                     BOOST_LEAF_AUTO(s, ground::parse_settings(text, ground::MachineKind::core));
+                     CHECK_EQUAL(2'500'000, s.grace_period);
+                     CHECK_EQUAL(7600, s.internal_port);
                      return s;
                    }).c_str());
 }
