--- a/tests/mesh/contract_test.cpp
+++ b/tests/mesh/contract_test.cpp
@@ -1,3 +1,4 @@
+// The contracts of stores and transports, whatever implements them; datagrams on the wire; the event log.
 #include <fstream>
 #include <filesystem>
 #include <regex>
@@ -19,150 +20,162 @@
 
 namespace {
 
-struct Folder {
-  Folder() {
+using trove::KeyValueStore;
+using Durability = KeyValueStore::Durability;
+
+class TemporaryFolder {
+ public:
+  TemporaryFolder() {
     char name[] = "/tmp/robinpin-trove-XXXXXX";
-    path = ::mkdtemp(name);
+    path_ = ::mkdtemp(name);
   }
-  ~Folder() { std::filesystem::remove_all(path); }
-  std::string path;
+  ~TemporaryFolder() { std::filesystem::remove_all(path_); }
+  TemporaryFolder(const TemporaryFolder&) = delete;
+  TemporaryFolder& operator=(const TemporaryFolder&) = delete;
+  std::string store_path() const { return path_ + "/t"; }
+
+ private:
+  std::string path_;
 };
 
-// What every trove must do; `again` opens the same one as a process's next life would.
-void keeps_what_it_said(const std::function<std::unique_ptr<trove::KeyValueStore>()>& again) {
-  using Durability = trove::KeyValueStore::Durability;
-  const std::string bytes("\0 odd \xff bytes", 13), odd("k\0k", 3);
-  const auto put = [](trove::KeyValueStore& t, const trove::KeyValueStore::WriteBatch& batch,
-                      Durability durability) {
-    STRCMP_EQUAL("", trouble_of<void>([&] { return t.write(batch, durability); }).c_str());
-  };
+void write(KeyValueStore& store, const KeyValueStore::WriteBatch& batch, Durability durability) {
+  STRCMP_EQUAL("", trouble_of<void>([&] { return store.write(batch, durability); }).c_str());
+}
+
+// The contract of every store. `open` opens the same one as the next run of a process would.
+void check_store_contract(const std::function<std::unique_ptr<KeyValueStore>()>& open) {
+  const std::string odd_value("\0 odd \xff bytes", 13), odd_key("k\0k", 3);
+  const std::string large_value(100'000, 'x');
   {
-    auto t = again();
-    put(*t, {{{"a", "1"}, {"b", bytes}, {"c", "gone"}}, {}}, Durability::synced);
-    put(*t, {{{"d", "in time"}, {"e", "gone"}}, {"c", "never there"}}, Durability::unsynced);
-    put(*t, {{{"a", "2"}, {odd, std::string(100'000, 'x')}, {"f", "dropped by the same"}}, {"e", "f"}},
-        Durability::synced);
+    const auto store = open();
+    write(*store, {{{"a", "1"}, {"b", odd_value}, {"c", "removed"}}, {}}, Durability::synced);
+    write(*store, {{{"d", "unsynced"}, {"e", "removed"}}, {"c", "never there"}}, Durability::unsynced);
+    write(*store, {{{"a", "2"}, {odd_key, large_value}, {"f", "removed by the same"}}, {"e", "f"}},
+          Durability::synced);
   }
-  std::vector<trove::KeyValueStore::Entry> held;
-  auto t = again();
-  STRCMP_EQUAL("", trouble_of<void>([&]() -> trove::result<void> {
-                     BOOST_LEAF_ASSIGN(held, t->read_all());
-                     BOOST_LEAF_AUTO(size, t->size_on_disk());
-                     CHECK(size > 0 && size < 1'000'000);  // what is alike is packed
-                     return {};
-                   }).c_str());
-  CHECK(held == std::vector<trove::KeyValueStore::Entry>(
-                    {{"a", "2"}, {"b", bytes}, {"d", "in time"}, {odd, std::string(100'000, 'x')}}));
+  const auto store = open();
+  std::vector<KeyValueStore::Entry> entries;
+  const std::string error = trouble_of<void>([&]() -> trove::result<void> {
+    BOOST_LEAF_ASSIGN(entries, store->read_all());
+    BOOST_LEAF_AUTO(size, store->size_on_disk());
+    CHECK(size > 0 && size < 1'000'000);
+    return {};
+  });
+  STRCMP_EQUAL("", error.c_str());
+  CHECK(entries == std::vector<KeyValueStore::Entry>(
+                       {{"a", "2"}, {"b", odd_value}, {"d", "unsynced"}, {odd_key, large_value}}));
 }
 
-// What every span must do: `run` lets time pass until what is under way has come.
-void carries(span::DatagramTransport& a, span::Machine at_a, span::DatagramTransport& b, span::Machine at_b,
-             const std::function<void(const std::function<bool()>&)>& run) {
-  std::vector<std::pair<span::Machine, std::string>> to_a, to_b;
-  a.set_handler([&](span::Machine from, std::string_view d) { to_a.emplace_back(from, d); });
-  b.set_handler([&](span::Machine from, std::string_view d) { to_b.emplace_back(from, d); });
-  const std::string odd("\0\xff\r\n", 4);
-  a.send(at_b, odd);
-  a.send(at_b, std::string(1'200, 'y'));
-  a.send(at_b, std::string(rumour::longest_datagram + 1, 'z'));  // dropped
-  b.send(at_a, "back");
-  run([&] { return to_a.size() >= 1 && to_b.size() >= 2; });
-  CHECK_EQUAL(1, to_a.size());
-  CHECK(to_a[0] == std::make_pair(at_b, std::string("back")));
-  CHECK_EQUAL(2, to_b.size());
+// The contract of every transport. `wait_until` lets time pass until the condition holds.
+void check_transport_contract(span::DatagramTransport& a, span::Machine address_a, span::DatagramTransport& b,
+                              span::Machine address_b,
+                              const std::function<void(const std::function<bool()>&)>& wait_until) {
+  constexpr std::size_t common_size = 1'200;
+  std::vector<std::pair<span::Machine, std::string>> received_by_a, received_by_b;
+  a.set_handler(
+      [&](span::Machine sender, std::string_view datagram) { received_by_a.emplace_back(sender, datagram); });
+  b.set_handler(
+      [&](span::Machine sender, std::string_view datagram) { received_by_b.emplace_back(sender, datagram); });
+  const std::string odd_bytes("\0\xff\r\n", 4);
+  a.send(address_b, odd_bytes);
+  a.send(address_b, std::string(common_size, 'y'));
+  a.send(address_b, std::string(rumour::longest_datagram + 1, 'z'));  // dropped
+  b.send(address_a, "back");
+  wait_until([&] { return received_by_a.size() >= 1 && received_by_b.size() >= 2; });
+  CHECK_EQUAL(1, received_by_a.size());
+  CHECK(received_by_a[0] == std::make_pair(address_b, std::string("back")));
+  CHECK_EQUAL(2, received_by_b.size());
   std::set<std::size_t> sizes;
-  for (const auto& [from, d] : to_b) {
-    CHECK_EQUAL(at_a, from);
-    sizes.insert(d.size());
+  for (const auto& [sender, datagram] : received_by_b) {
+    CHECK_EQUAL(address_a, sender);
+    sizes.insert(datagram.size());
   }
-  CHECK(sizes == std::set<std::size_t>({4, 1'200}));
+  CHECK(sizes == std::set<std::size_t>({odd_bytes.size(), common_size}));
 }
 
 }  // namespace
 
 TEST_GROUP(Trove){};
 
-TEST(Trove, in_memory_keeps_over_a_process_what_put_said_lasts) {
+TEST(Trove, the_memory_store_keeps_writes_over_a_restart) {
   const auto disk = std::make_shared<trove::MemoryStore::Disk>();
-  keeps_what_it_said([&] { return std::make_unique<trove::MemoryStore>(disk); });
+  check_store_contract([&] { return std::make_unique<trove::MemoryStore>(disk); });
 }
 
-TEST(Trove, in_memory_loses_with_power_what_was_put_in_time_alone) {
+TEST(Trove, the_memory_store_loses_only_unsynced_writes_with_power) {
   const auto disk = std::make_shared<trove::MemoryStore::Disk>();
-  trove::MemoryStore t(disk);
-  for (const auto& [name, how] : {std::pair("a", trove::KeyValueStore::Durability::unsynced),
-                                  {"b", trove::KeyValueStore::Durability::synced},
-                                  {"c", trove::KeyValueStore::Durability::unsynced}})
-    STRCMP_EQUAL("", trouble_of<void>([&, n = name, h = how] {
-                       return t.write({{{n, "x"}}, {}}, h);
-                     }).c_str());
+  trove::MemoryStore store(disk);
+  write(store, {{{"a", "x"}}, {}}, Durability::unsynced);
+  write(store, {{{"b", "x"}}, {}}, Durability::synced);
+  write(store, {{{"c", "x"}}, {}}, Durability::unsynced);
   CHECK_EQUAL(3, disk->written.size());
   disk->lose_power();
   CHECK(disk->written == (std::map<std::string, std::string>{{"a", "x"}, {"b", "x"}}));
 }
 
-TEST(Trove, on_disk_keeps_over_a_process_what_put_said_lasts) {
-  const Folder folder;
-  keeps_what_it_said([&] {
-    std::unique_ptr<trove::KeyValueStore> t;
-    STRCMP_EQUAL("", trouble_of<void>([&]() -> trove::result<void> {
-                       BOOST_LEAF_ASSIGN(t, trove::open_leveldb_store(folder.path + "/t"));
-                       return {};
-                     }).c_str());
-    return t;
+TEST(Trove, the_store_on_disk_keeps_writes_over_a_restart) {
+  const TemporaryFolder folder;
+  check_store_contract([&] {
+    std::unique_ptr<KeyValueStore> store;
+    const std::string error = trouble_of<void>([&]() -> trove::result<void> {
+      BOOST_LEAF_ASSIGN(store, trove::open_leveldb_store(folder.store_path()));
+      return {};
+    });
+    STRCMP_EQUAL("", error.c_str());
+    return store;
   });
 }
 
-TEST(Trove, a_folder_that_is_a_file_is_told_with_step_and_peer) {
-  const Folder folder;
-  std::ofstream(folder.path + "/t") << "x";
-  const std::string why = trouble_of<std::unique_ptr<trove::KeyValueStore>>(
-      [&] { return trove::open_leveldb_store(folder.path + "/t"); });
-  CHECK(why.starts_with("open|" + folder.path + "/t|"));
+TEST(Trove, opening_a_folder_that_is_a_file_fails_with_step_and_peer) {
+  const TemporaryFolder folder;
+  std::ofstream(folder.store_path()) << "x";
+  const std::string error = trouble_of<std::unique_ptr<KeyValueStore>>(
+      [&] { return trove::open_leveldb_store(folder.store_path()); });
+  CHECK(error.starts_with("open|" + folder.store_path() + "|"));
 }
 
 TEST_GROUP(Span){};
 
-TEST(Span, in_memory_carries_bytes_whole_and_tells_from_whom) {
-  span::SimulatedNetwork net(1);
-  span::SimulatedTransport a(net, 1), b(net, 2);
-  carries(a, 1, b, 2, [&](const auto&) { net.advance_to(1'000'000); });
+TEST(Span, the_simulated_transport_delivers_datagrams_unaltered_with_their_sender) {
+  span::SimulatedNetwork network(1);
+  span::SimulatedTransport a(network, 1), b(network, 2);
+  check_transport_contract(a, 1, b, 2, [&](const auto&) { network.advance_to(1'000'000); });
 }
 
-TEST(Span, over_udp_carries_bytes_whole_and_tells_from_whom) {
+TEST(Span, the_udp_transport_delivers_datagrams_unaltered_with_their_sender) {
   asio::io_context io;
   std::unique_ptr<span::UdpTransport> a, b;
-  const auto at_a = span::parse_address("127.0.21.1"), at_b = span::parse_address("127.0.21.2");
+  const auto address_a = span::parse_address("127.0.21.1"), address_b = span::parse_address("127.0.21.2");
   for (std::uint16_t port = 21'000; !b && port < 21'400; ++port) {  // one that is free at both
     a.reset();
     trouble_of<void>([&]() -> trove::result<void> {
-      BOOST_LEAF_ASSIGN(a, span::UdpTransport::open(io, at_a, port));
-      BOOST_LEAF_ASSIGN(b, span::UdpTransport::open(io, at_b, port));
+      BOOST_LEAF_ASSIGN(a, span::UdpTransport::open(io, address_a, port));
+      BOOST_LEAF_ASSIGN(b, span::UdpTransport::open(io, address_b, port));
       return {};
     });
   }
   CHECK(a && b);
-  carries(*a, at_a, *b, at_b, [&](const std::function<bool()>& done) {
-    while (!done()) io.run_one_for(std::chrono::seconds(5));
+  check_transport_contract(*a, address_a, *b, address_b, [&](const std::function<bool()>& is_done) {
+    while (!is_done()) io.run_one_for(std::chrono::seconds(5));
   });
 }
 
-TEST(Span, a_taken_address_is_told_with_step_and_peer) {
+TEST(Span, binding_an_address_in_use_fails_with_step_and_peer) {
   asio::io_context io;
-  const auto at = span::parse_address("127.0.21.3");
-  std::unique_ptr<span::UdpTransport> a;
-  std::string why;
-  for (std::uint16_t port = 21'400; why.empty() && port < 21'800; ++port) {
-    a.reset();
+  const auto address = span::parse_address("127.0.21.3");
+  std::unique_ptr<span::UdpTransport> first;
+  std::string error;
+  for (std::uint16_t port = 21'400; error.empty() && port < 21'800; ++port) {
+    first.reset();
     trouble_of<void>([&]() -> trove::result<void> {
-      BOOST_LEAF_ASSIGN(a, span::UdpTransport::open(io, at, port));
+      BOOST_LEAF_ASSIGN(first, span::UdpTransport::open(io, address, port));
       return {};
     });
-    if (a)
-      why = trouble_of<std::unique_ptr<span::UdpTransport>>(
-          [&] { return span::UdpTransport::open(io, at, port); });
+    if (!first) continue;
+    error = trouble_of<std::unique_ptr<span::UdpTransport>>(
+        [&] { return span::UdpTransport::open(io, address, port); });
   }
-  CHECK(why.starts_with("bind|127.0.21.3:"));
+  CHECK(error.starts_with("bind|127.0.21.3:"));
 }
 
 TEST_GROUP(Wire){};
@@ -182,32 +195,40 @@
 
 TEST_GROUP(Chronicle){};
 
+namespace {
+
+std::string read_text(const char* path) {
+  std::ifstream in(path);
+  std::stringstream text;
+  text << in.rdbuf();
+  return text.str();
+}
+
+// "number name" of each match, whose groups are the name and the number.
+std::set<std::string> find_events(const std::string& text, const std::regex& pattern) {
+  std::set<std::string> events;
+  for (std::sregex_iterator match(text.begin(), text.end(), pattern), end; match != end; ++match)
+    events.insert((*match)[2].str() + " " + (*match)[1].str());
+  return events;
+}
+
+}  // namespace
+
 TEST(Chronicle, every_event_type_is_in_the_catalogue_with_its_number_and_no_other_is) {
-  const auto text = [](const char* path) {
-    std::ifstream in(path);
-    std::stringstream s;
-    s << in.rdbuf();
-    return s.str();
-  };
-  const std::string header = text(ROBINPIN_SOURCE "/src/chronicle/event_log.h"),
-                    page = text(ROBINPIN_SOURCE "/docs/events.md");
-  const auto found = [](const std::string& in, const std::regex& what) {
-    std::set<std::string> all;
-    for (std::sregex_iterator it(in.begin(), in.end(), what), end; it != end; ++it)
-      all.insert((*it)[2].str() + " " + (*it)[1].str());
-    return all;
-  };
-  const auto code = found(header, std::regex(R"(\n  (\w+) = (\d+),)")),
-             told = found(page, std::regex(R"(\n\| `(\w+)` \| (\d+) \|)"));
-  CHECK(code.size() > 10);
-  CHECK(code == told);
+  const auto in_code = find_events(read_text(ROBINPIN_SOURCE "/src/chronicle/event_log.h"),
+                                   std::regex(R"(\n  (\w+) = (\d+),)"));
+  const auto in_catalogue =
+      find_events(read_text(ROBINPIN_SOURCE "/docs/events.md"), std::regex(R"(\n\| `(\w+)` \| (\d+) \|)"));
+  CHECK(in_code.size() > 10);
+  CHECK(in_code == in_catalogue);
 }
 
 TEST(Chronicle, the_log_drops_the_oldest_events_and_its_counters_keep_counting_them) {
-  chronicle::EventLog c;
-  for (std::size_t i = 0; i < chronicle::EventLog::capacity + 10; ++i)
-    c.append(chronicle::EventType::clock_jumped, std::int64_t(i));
-  CHECK_EQUAL(chronicle::EventLog::capacity, c.events().size());
-  CHECK_EQUAL(10, c.events().front().time);
-  CHECK_EQUAL(chronicle::EventLog::capacity + 10, c.counts().counts.at(chronicle::EventType::clock_jumped));
+  constexpr std::size_t dropped = 10;
+  constexpr std::size_t appended = chronicle::EventLog::capacity + dropped;
+  chronicle::EventLog log;
+  for (std::size_t i = 0; i < appended; ++i) log.append(chronicle::EventType::clock_jumped, std::int64_t(i));
+  CHECK_EQUAL(chronicle::EventLog::capacity, log.events().size());
+  CHECK_EQUAL(dropped, log.events().front().time);
+  CHECK_EQUAL(appended, log.counts().counts.at(chronicle::EventType::clock_jumped));
 }
