--- a/src/trove/durable_environment.cpp
+++ b/src/trove/durable_environment.cpp
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-// A file that LevelDB writes; tells the environment what is synced and what failed.
+// A file that LevelDB writes; reports to the environment what is synced and what failed.
 class DurableEnvironment::DurableFile : public leveldb::WritableFile {
  public:
   DurableFile(DurableEnvironment& environment, std::string name, leveldb::WritableFile* file)
--- a/src/trove/leveldb_errors.h
+++ b/src/trove/leveldb_errors.h
@@ -9,7 +9,7 @@
 
 namespace robinpin::trove {
 
-// Corruption is told as such whatever the step was.
+// Corruption is reported as Step::corruption whatever the step was.
 Error error_of(Error::Step step, const std::string& folder, const leveldb::Status& status);
 
 // The same for Step::read.
--- a/tests/mesh/trove_test.cpp
+++ b/tests/mesh/trove_test.cpp
@@ -132,7 +132,7 @@
   corruptions.push_back({"without its last byte", content.substr(0, content.size() - 1)});
   for (int i = 0; i < 8; ++i) {
     const std::size_t offset = draw_below(random, content.size());
-    corruptions.push_back({"cut at " + std::to_string(offset), content.substr(0, offset)});
+    corruptions.push_back({"truncated at " + std::to_string(offset), content.substr(0, offset)});
     std::string flipped = content;
     flipped[offset] ^= char(1 << draw_below(random, 8));
     corruptions.push_back({"bit flipped at " + std::to_string(offset), flipped});
@@ -188,8 +188,8 @@
 
 }  // namespace
 
-// Each file in turn is removed, emptied, cut or has a bit flipped: the store opens as it was, or not at all.
-// The newest log's end alone may be lost unnoticed: peers that remember a later number detect that.
+// Each file in turn is removed, emptied, truncated or has a bit flipped: the store opens as it was, or not at
+// all. The newest log's end alone may be lost unnoticed: peers that remember a later number detect that.
 TEST(Disk, a_store_that_lacks_what_was_synced_does_not_open) {
   const KilledStore store(1);
   Random random(2);
