--- a/src/ground/settings.cpp
+++ b/src/ground/settings.cpp
@@ -76,7 +76,7 @@
     return {};
   }
   std::string required_endpoint(const std::string& pointer) {
-    const std::string text = required_text(pointer);
+    std::string text = required_text(pointer);
     if (!text.empty() && !is_endpoint(text)) add_fault(pointer, "'" + text + "' is no address:port");
     return text;
   }
@@ -153,7 +153,7 @@
   for (const auto& [key, region] : value->GetObject()) {
     const std::string zone = text_of(key);
     if (zone.empty() || !region.IsString())
-      reader.add_fault(pointer + "/" + zone, "no zone with its region");
+      reader.add_fault(fmt::format("{}/{}", pointer, zone), "no zone with its region");
     else
       zones[zone] = text_of(region);
   }
--- a/src/trove/durable_environment.cpp
+++ b/src/trove/durable_environment.cpp
@@ -45,7 +45,7 @@
 
   Status Append(const leveldb::Slice& data) override {
     // Nothing is durable that comes after something that may not be.
-    if (const Status failure = environment_.first_failure(); !failure.ok()) return failure;
+    if (Status failure = environment_.first_failure(); !failure.ok()) return failure;
     size_ += data.size();
     has_unsynced_data_ = true;
     return environment_.record_failure(file_->Append(data));
@@ -54,8 +54,8 @@
   Status Flush() override { return file_->Flush(); }
 
   Status Sync() override {
-    if (const Status failure = environment_.first_failure(); !failure.ok()) return failure;
-    const Status status = file_->Sync();
+    if (Status failure = environment_.first_failure(); !failure.ok()) return failure;
+    Status status = file_->Sync();
     if (!status.ok()) return environment_.record_failure(status);
     has_unsynced_data_ = false;
     environment_.record_synced_size(name_, size_);
@@ -64,8 +64,8 @@
 
   Status Close() override {
     const bool needs_sync = has_unsynced_data_ && is_log(name_);  // its successor may be written to next
-    const Status synced = needs_sync ? Sync() : Status::OK();
-    const Status closed = file_->Close();
+    Status synced = needs_sync ? Sync() : Status::OK();
+    Status closed = file_->Close();
     file_.reset();
     return synced.ok() ? closed : synced;
   }
@@ -90,10 +90,10 @@
   // An earlier process may have ended between creating the folder and its sync.
   if (created.empty()) created.push_back(fs::absolute(folder_, error));
   for (const auto& folder : created) {
-    const Status synced = files_.sync_folder(folder.parent_path().string());
+    Status synced = files_.sync_folder(folder.parent_path().string());
     if (!synced.ok()) return synced;
   }
-  const Status locked = files_.LockFile(path_of(lock_file_name), &folder_lock_);
+  Status locked = files_.LockFile(path_of(lock_file_name), &folder_lock_);
   return locked.ok() ? locked : Status::IOError("is in use", locked.ToString());
 }
 
@@ -102,32 +102,32 @@
   if (report.last_write) next_write_number_ = *report.last_write + 1;
   if (report.inventory) {
     inventory_ = *report.inventory;
-    saves_inventory_ = true;
+    inventory_is_active_ = true;
   } else if (report.is_empty) {
     next_write_number_ = 1;
   }
-  if (saves_inventory_) {  // the other copy is overwritten next, so this one has to be durable
-    const Status status = files_.rewrite_and_sync(path_of(inventory_file_name(inventory_.revision)));
+  if (inventory_is_active_) {  // the other copy is overwritten next, so this one has to be durable
+    Status status = files_.rewrite_and_sync(path_of(inventory_file_name(inventory_.revision)));
     if (!status.ok()) return status;
   }
   for (const auto& [name, valid_size] : report.torn_files) {
-    const Status status = files_.truncate_and_sync(path_of(name), valid_size);
+    Status status = files_.truncate_and_sync(path_of(name), valid_size);
     if (!status.ok()) return status;
   }
   return report.lost_current ? restore_current(*report.lost_current) : Status::OK();
 }
 
 Status DurableEnvironment::restore_current(const std::string& manifest) {
-  const Status written = write_synced_file(restored_current_file_name, manifest + "\n");
+  Status written = write_synced_file(restored_current_file_name, manifest + "\n");
   if (!written.ok()) return written;
-  const Status renamed = files_.RenameFile(path_of(restored_current_file_name), path_of(current_file_name));
+  Status renamed = files_.RenameFile(path_of(restored_current_file_name), path_of(current_file_name));
   if (!renamed.ok()) return renamed;
   return files_.sync_folder(folder_);
 }
 
 Status DurableEnvironment::finish_open() {
   const std::lock_guard lock(mutex_);
-  bool has_changed = !saves_inventory_;
+  bool has_changed = !inventory_is_active_;
   for (auto file = inventory_.files.rbegin(); file != inventory_.files.rend(); ++file) {
     if (!is_log(file->first)) continue;
     // The newest log: nothing is in it yet.
@@ -136,15 +136,15 @@
     break;
   }
   if (!has_changed) return first_failure_;
-  const bool is_first_save = !std::exchange(saves_inventory_, true);
-  const Status saved = save_inventory();
+  const bool is_first_save = !std::exchange(inventory_is_active_, true);
+  Status saved = save_inventory();
   // Both copies exist before the first write.
   return saved.ok() && is_first_save ? save_inventory() : saved;
 }
 
 Status DurableEnvironment::finish_close() {
   const std::lock_guard lock(mutex_);
-  return saves_inventory_ && first_failure_.ok() ? save_inventory() : first_failure_;
+  return inventory_is_active_ && first_failure_.ok() ? save_inventory() : first_failure_;
 }
 
 void DurableEnvironment::set_next_write_number(std::uint64_t number) {
@@ -173,11 +173,11 @@
 
 Status DurableEnvironment::write_synced_file(const std::string& name, const std::string& text) {
   leveldb::WritableFile* opened = nullptr;
-  if (const Status status = files_.NewWritableFile(path_of(name), &opened); !status.ok()) return status;
+  if (Status status = files_.NewWritableFile(path_of(name), &opened); !status.ok()) return status;
   const std::unique_ptr<leveldb::WritableFile> file(opened);
   Status status = file->Append(text);
   if (status.ok()) status = file->Sync();
-  const Status closed = file->Close();
+  Status closed = file->Close();
   return status.ok() ? closed : status;
 }
 
@@ -195,7 +195,7 @@
 Status DurableEnvironment::unlist_size(const std::string& name) {
   const std::lock_guard lock(mutex_);
   const auto file = inventory_.files.find(name);
-  if (!saves_inventory_ || file == inventory_.files.end() || file->second.synced_size == 0)
+  if (!inventory_is_active_ || file == inventory_.files.end() || file->second.synced_size == 0)
     return Status::OK();
   file->second.synced_size = 0;
   return save_inventory();
@@ -204,24 +204,24 @@
 Status DurableEnvironment::add_to_inventory(const std::string& name) {
   const std::lock_guard lock(mutex_);
   inventory_.files[name] = {0, is_log(name) ? next_write_number_ : 0};
-  return saves_inventory_ ? save_inventory() : Status::OK();
+  return inventory_is_active_ ? save_inventory() : Status::OK();
 }
 
 Status DurableEnvironment::NewWritableFile(const std::string& path, leveldb::WritableFile** file) {
   const std::string name = name_of(path);
   *file = nullptr;
-  if (const Status failure = first_failure(); !failure.ok()) return failure;
+  if (Status failure = first_failure(); !failure.ok()) return failure;
   if (is_in_inventory(name))
-    if (const Status status = unlist_size(name); !status.ok()) return status;
+    if (Status status = unlist_size(name); !status.ok()) return status;
   leveldb::WritableFile* created = nullptr;
-  if (const Status status = files_.NewWritableFile(path, &created); !status.ok()) return status;
+  if (Status status = files_.NewWritableFile(path, &created); !status.ok()) return status;
   auto durable_file = std::make_unique<DurableFile>(*this, name, created);
   if (!is_temporary(name)) {  // a temporary file is renamed, which syncs the folder
-    const Status status = record_failure(files_.sync_folder(folder_));
+    Status status = record_failure(files_.sync_folder(folder_));
     if (!status.ok()) return status;
   }
   if (is_in_inventory(name))
-    if (const Status status = add_to_inventory(name); !status.ok()) return status;
+    if (Status status = add_to_inventory(name); !status.ok()) return status;
   *file = durable_file.release();
   return Status::OK();
 }
@@ -229,18 +229,18 @@
 // Taken off the inventory first: what it lists has to exist.
 Status DurableEnvironment::RemoveFile(const std::string& path) {
   const std::string name = name_of(path);
-  if (const Status failure = first_failure(); !failure.ok()) return failure;
+  if (Status failure = first_failure(); !failure.ok()) return failure;
   if (is_in_inventory(name)) {
     const std::lock_guard lock(mutex_);
     const bool was_listed = inventory_.files.erase(name) > 0;
-    if (was_listed && saves_inventory_)
-      if (const Status status = save_inventory(); !status.ok()) return status;
+    if (was_listed && inventory_is_active_)
+      if (Status status = save_inventory(); !status.ok()) return status;
   }
   return record_failure(files_.RemoveFile(path));
 }
 
 Status DurableEnvironment::RenameFile(const std::string& from, const std::string& to) {
-  if (const Status failure = first_failure(); !failure.ok()) return failure;
+  if (Status failure = first_failure(); !failure.ok()) return failure;
   Status status = files_.RenameFile(from, to);
   if (status.ok()) status = files_.sync_folder(folder_);
   return record_failure(status);
--- a/src/trove/durable_environment.h
+++ b/src/trove/durable_environment.h
@@ -68,7 +68,7 @@
   std::mutex mutex_;  // guards what follows
   Inventory inventory_;
   std::uint64_t next_write_number_ = 0;
-  bool saves_inventory_ = false;
+  bool inventory_is_active_ = false;
   leveldb::Status first_failure_;
 };
 
--- a/src/trove/file_system.cpp
+++ b/src/trove/file_system.cpp
@@ -42,7 +42,7 @@
 
 Status FileSystem::rewrite_and_sync(const std::string& path) {
   std::string text;
-  if (const Status status = leveldb::ReadFileToString(this, path, &text); !status.ok()) return status;
+  if (Status status = leveldb::ReadFileToString(this, path, &text); !status.ok()) return status;
   return with_open_file(path, O_WRONLY, [&](int descriptor) {
     if (::pwrite(descriptor, text.data(), text.size(), 0) != ssize_t(text.size())) return -1;
     return ::fsync(descriptor);
--- a/src/trove/integrity_check.cpp
+++ b/src/trove/integrity_check.cpp
@@ -100,7 +100,7 @@
   explicit IntegrityChecker(const std::string& folder) : folder_(folder) {}
 
   IntegrityReport run() {
-    list_files();
+    read_folder();
     read_inventories();
     detect_content();
     check_listed_files();
@@ -121,17 +121,17 @@
     report_.faults.push_back({(folder_ / name).string(), "cannot be read", false});
   }
 
-  void list_files() {
-    std::error_code list_error;
-    for (fs::directory_iterator entry(folder_, list_error), end; !list_error && entry != end;
-         entry.increment(list_error)) {
+  void read_folder() {
+    std::error_code folder_error;
+    for (fs::directory_iterator entry(folder_, folder_error), end; !folder_error && entry != end;
+         entry.increment(folder_error)) {
       std::error_code size_error;  // it may be gone since it was listed
       const auto size = entry->file_size(size_error);
       if (size_error) continue;
       file_sizes_[entry->path().filename().string()] = size;
       report_.size_on_disk += size;
     }
-    if (list_error) report_.faults.push_back({folder_.string(), list_error.message(), false});
+    if (folder_error) report_.faults.push_back({folder_.string(), folder_error.message(), false});
   }
 
   void read_inventories() {
--- a/src/trove/leveldb_store.cpp
+++ b/src/trove/leveldb_store.cpp
@@ -68,14 +68,15 @@
 
   result<std::uint64_t> size_on_disk() override {
     std::uint64_t total = 0;
-    std::error_code list_error;
-    for (fs::directory_iterator entry(folder_, list_error), end; !list_error && entry != end;
-         entry.increment(list_error)) {
+    std::error_code folder_error;
+    for (fs::directory_iterator entry(folder_, folder_error), end; !folder_error && entry != end;
+         entry.increment(folder_error)) {
       std::error_code size_error;  // it may be gone since it was listed
       const auto size = entry->file_size(size_error);
       if (!size_error) total += size;
     }
-    if (list_error) return boost::leaf::new_error(Error{Error::Step::read, folder_, list_error.message()});
+    if (folder_error)
+      return boost::leaf::new_error(Error{Error::Step::read, folder_, folder_error.message()});
     return total;
   }
 
--- a/src/trove/offline_reader.cpp
+++ b/src/trove/offline_reader.cpp
@@ -47,9 +47,9 @@
   struct ::flock lock = {};
   lock.l_type = F_WRLCK;
   lock.l_whence = SEEK_SET;
-  const bool is_held = ::fcntl(descriptor, F_GETLK, &lock) == 0 && lock.l_type != F_UNLCK;
+  const bool has_owner = ::fcntl(descriptor, F_GETLK, &lock) == 0 && lock.l_type != F_UNLCK;
   ::close(descriptor);
-  return is_held;
+  return has_owner;
 }
 
 struct FileState {
@@ -71,7 +71,7 @@
 // Errors: the folder cannot be read, or its store is in use.
 result<FolderState> state_of_unused_store(const std::string& folder) {
   std::error_code error;
-  const FolderState state = state_of(folder, error);
+  FolderState state = state_of(folder, error);
   if (error) return boost::leaf::new_error(Error{Error::Step::open, folder, error.message()});
   if (is_locked(folder + "/" + lock_file_name))
     return boost::leaf::new_error(Error{Error::Step::open, folder, "is in use"});
@@ -85,9 +85,9 @@
   std::error_code error;
   for (const auto& [name, state] : before) {
     if (name == lock_file_name) continue;
-    const std::string source = folder + "/" + name;
-    fs::copy_file(source, copy + "/" + name, error);
-    if (error) return boost::leaf::new_error(Error{Error::Step::copy, source, error.message()});
+    const fs::path source = fs::path(folder) / name;
+    fs::copy_file(source, fs::path(copy) / name, error);
+    if (error) return boost::leaf::new_error(Error{Error::Step::copy, source.string(), error.message()});
   }
   if (state_of(folder, error) != before)
     return boost::leaf::new_error(Error{Error::Step::open, folder, "is in use: it changes while it is read"});
@@ -102,9 +102,9 @@
 }
 
 // Tells corruption with the path in the original folder.
-class CorruptionList {
+class CorruptionReport {
  public:
-  CorruptionList(std::string original, std::string copy)
+  CorruptionReport(std::string original, std::string copy)
       : original_(std::move(original)), copy_(std::move(copy)) {}
 
   void add(const std::string& path, const std::string& reason) {
@@ -122,7 +122,7 @@
 
 // Whether the copy could be read; otherwise the list says why.
 bool read_copy(const std::string& copy, std::vector<KeyValueStore::Entry>& entries,
-               CorruptionList& corruption) {
+               CorruptionReport& corruption) {
   return boost::leaf::try_handle_all(
       [&]() -> result<bool> {
         BOOST_LEAF_AUTO(store, open_leveldb_store(copy));
@@ -141,14 +141,15 @@
 result<OfflineContents> read_offline(const std::string& folder) {
   BOOST_LEAF_AUTO(state, state_of_unused_store(folder));
   const TemporaryFolder copy;
-  BOOST_LEAF_CHECK(copy_store(folder, state, copy.path()));
+  auto copied = copy_store(folder, state, copy.path());
+  if (!copied) return copied.error();
   const IntegrityReport report = check_integrity(copy.path());
   if (report.is_empty && !report.inventory)
     return boost::leaf::new_error(Error{Error::Step::open, folder, "holds no store"});
 
   OfflineContents contents;
   contents.size_on_disk = report.size_on_disk;
-  CorruptionList corruption(folder, copy.path());
+  CorruptionReport corruption(folder, copy.path());
   for (const IntegrityFault& fault : report.faults) corruption.add(fault.file, fault.reason);
   // A store whose corruption shows only while it is read is salvaged and read again.
   constexpr int read_attempts = 2;
