--- a/src/mesh/ambit.cpp
+++ b/src/mesh/ambit.cpp
@@ -19,7 +19,7 @@
 
 using namespace std::chrono_literals;
 using asio::awaitable;
-using chronicle::event;
+using chronicle::EventType;
 
 constexpr codec::Limits call_limits = {16 * 1024, 64 * 1024}, caller_limits = {64 * 1024, 64 * 1024 * 1024};
 constexpr int beats_missed = 4;  // then the server beside this node is taken to be gone
@@ -53,7 +53,7 @@
     readiness_.listen(node::endpoint_of(settings.ports.at("readiness")));
     node::listen_at(outbound_, node::endpoint_of(settings.ports.at("outbound")), 1024);
     node::listen_at(inbound_, node::endpoint_of(settings.ports.at("inbound")), 1024);
-    chronicle_.append(event::began, now(),
+    chronicle_.append(EventType::role_started, now(),
                       fmt::format("role=ambit node={} target={}", settings.node, settings.target));
     control_.run();
     readiness_.run();
@@ -81,10 +81,10 @@
     const bool drained = door.has_server() && door.server().draining;
     if (!door.beat(now(), s, b.warmup_left)) return {};
     if (before != b.id)
-      chronicle_.append(event::server_up, now(),
+      chronicle_.append(EventType::server_up, now(),
                         fmt::format("id={} service={} cold_ms={}", b.id, b.target, b.warmup_left / 1000));
     if (door.server().draining && !(drained && before == b.id))
-      chronicle_.append(event::server_draining, now(), fmt::format("id={}", b.id));
+      chronicle_.append(EventType::server_draining, now(), fmt::format("id={}", b.id));
     publish();
     return {};  // from here on this gate lets nothing new through to one that drains, and the word of it is
                 // out
@@ -92,7 +92,7 @@
 
   port::Done left(const port::Departure& d) {
     hand_.door().departed(d.id);
-    chronicle_.append(event::server_gone, now(), fmt::format("id={} how=departed", d.id));
+    chronicle_.append(EventType::server_down, now(), fmt::format("id={} how=departed", d.id));
     publish();
     return {};
   }
@@ -133,9 +133,10 @@
                      item.dropped ? " dropped" : "", item.text);
       const bool emptied = plan_->emptied.contains(settings.zone);
       if (emptied != was_emptied) {
-        chronicle_.append(emptied ? event::zone_emptied : event::zone_back, now(), settings.zone);
+        chronicle_.append(emptied ? EventType::zone_evacuated : EventType::zone_restored, now(),
+                          settings.zone);
         // Its servers may have turned cold meanwhile: until the next beat tells it is taken to be.
-        if (!emptied) hand_.door().doubt_until(now() + settings.beat_period + 500'000);
+        if (!emptied) hand_.door().doubt_until(now() + settings.heartbeat_period + 500'000);
       }
     }
     carry_.servers(rumour_.roll(), now());
@@ -152,24 +153,24 @@
     carry_.ready(is);
     if ((is && !ending_) != is_ready_) {
       is_ready_ = is && !ending_;
-      chronicle_.append(is_ready_ ? event::ready : event::unready, now());
+      chronicle_.append(is_ready_ ? EventType::ready : EventType::not_ready, now());
     }
   }
 
   void ticked(bool leapt) override {
     // Its server went on while this process stood still, and may have turned cold: taken to be until it says
     // so.
-    if (leapt) hand_.door().doubt_until(now() + settings.beat_period + 500'000);
+    if (leapt) hand_.door().doubt_until(now() + settings.heartbeat_period + 500'000);
     rumour::Outbox out;
     rumour_.tick(now(), out);
     send(out);
     const gate::Gate& door = hand_.door();
     const bool silent =
-        door.has_server() && now() - door.server().heard > beats_missed * settings.beat_period;
+        door.has_server() && now() - door.server().heard > beats_missed * settings.heartbeat_period;
     if (silent != silent_) {
       silent_ = silent;
       if (silent)
-        chronicle_.append(event::server_gone, now(), fmt::format("id={} how=silent", door.server().id));
+        chronicle_.append(EventType::server_down, now(), fmt::format("id={} how=silent", door.server().id));
       publish();
     }
     changed();
@@ -189,7 +190,7 @@
   void told_to_end() override {
     if (ending_) return;
     ending_ = true;
-    const ShutdownSchedule schedule = ShutdownSchedule::within(settings.grace);
+    const ShutdownSchedule schedule = ShutdownSchedule::within(settings.grace_period);
     least_end_ = now() + schedule.earliest_end;
     last_end_ = now() + schedule.latest_end;
     carry_.end_by(clock_.now() + schedule.gives_up_at);
@@ -214,7 +215,7 @@
     put("taken", c.taken), put("good", c.good), put("failed", c.failed), put("refused", c.refused),
         put("further", c.further), put("held", c.held);
     put("own_4xx", c.own_4xx), put("probes", c.probes);
-    put("datagrams", span_->sent), put("datagram_bytes", span_->sent_bytes);
+    put("datagrams", span_->datagrams_sent), put("datagram_bytes", span_->bytes_sent);
     out.Key("servers"), out.StartArray();
     for (const auto& [m, e] : rumour_.roll().entries()) {
       if (e.record.server.empty()) continue;
@@ -222,7 +223,7 @@
       out.Key("id"), out.String(e.record.server.c_str());
       out.Key("service"), out.String(e.record.service.c_str());
       out.Key("zone"), out.String(e.record.zone.c_str());
-      out.Key("machine"), out.String(span::text_of(m).c_str());
+      out.Key("machine"), out.String(span::format_address(m).c_str());
       out.Key("state"), out.String(e.record.lapsed ? "lapsed" : e.record.draining ? "draining" : "admitted");
       out.Key("heard_ms"), out.Int64((now() - e.heard) / 1000);
       out.EndObject();
@@ -250,8 +251,9 @@
 int run_role(const std::function<trove::result<int>()>& role) {
   return boost::leaf::try_handle_all(
       role,
-      [](const trove::Trouble& t) {
-        fmt::print(stderr, "robinpin: {} {}: {}{}", t.step, t.peer, t.why, t.why.ends_with('\n') ? "" : "\n");
+      [](const trove::Error& t) {
+        fmt::print(stderr, "robinpin: {} {}: {}{}", trove::to_string(t.step), t.peer, t.reason,
+                   t.reason.ends_with('\n') ? "" : "\n");
         return 1;
       },
       [](const std::exception& e) {
@@ -267,7 +269,7 @@
 int ambit(const Start& start) {
   std::signal(SIGPIPE, SIG_IGN);
   return run_role([&]() -> trove::result<int> {
-    BOOST_LEAF_AUTO(settings, ground::load(start.settings, false));
+    BOOST_LEAF_AUTO(settings, ground::load_settings(start.settings, ground::MachineKind::server));
     Ambit role(std::move(settings), start.settings);
     return role.run();
   });
--- a/src/mesh/locus.cpp
+++ b/src/mesh/locus.cpp
@@ -10,6 +10,7 @@
 #include "../locus/keep.h"
 #include "../log/log.h"
 #include "../port/calls.h"
+#include "../trove/leveldb_store.h"
 #include "role.h"
 
 namespace robinpin::mesh {
@@ -20,19 +21,19 @@
 
 using namespace std::chrono_literals;
 using asio::awaitable;
-using chronicle::event;
+using chronicle::EventType;
 
 constexpr codec::Limits call_limits = {16 * 1024, 16 * 1024 * 1024};
 constexpr std::int64_t late = 150'000;  // microseconds past its time that an outcome may reach its caller
 
 class Locus : public Role {
  public:
-  Locus(ground::Settings s, std::string path, std::unique_ptr<trove::Trove> trove, std::string aside)
+  Locus(ground::Settings s, std::string path, std::unique_ptr<trove::KeyValueStore> trove, std::string aside)
       : Role(std::move(s), std::move(path), true),
         sockets_(std::max(32, settings.file_limit - 264)),
         trove_(std::move(trove)),
-        keep_(span::machine_of(settings.ip), creed_, rumour_, *trove_,
-              (std::uint64_t(chance_of(settings)) << 32) | chance_of(settings), {settings.contact}),
+        keep_(span::parse_address(settings.ip), creed_, rumour_, *trove_,
+              (std::uint64_t(chance_of(settings)) << 32) | chance_of(settings), {settings.contact_timeout}),
         control_(io_, sockets_, call_limits, {.wait = 30s, .for_who_waits = true}),
         wakes_(io_),
         aside_(std::move(aside)) {
@@ -54,12 +55,12 @@
 
   trove::result<int> run() {
     BOOST_LEAF_CHECK(open());
-    BOOST_LEAF_CHECK(keep_.begin(now(), settings.first_start, machines_of(settings.seeds)));
+    BOOST_LEAF_CHECK(keep_.begin(now(), settings.first_start, machines_of(settings.seed_nodes)));
     control_.listen(node::endpoint_of(settings.ports.at("control")));
-    chronicle_.append(event::began, now(),
+    chronicle_.append(EventType::role_started, now(),
                       fmt::format("role=locus node={} items={}", settings.node, creed_.items().size()));
-    if (!aside_.empty()) chronicle_.append(event::disk_set_aside, now(), aside_);
-    chronicle_.append(event::copy_lacks, now());
+    if (!aside_.empty()) chronicle_.append(EventType::storage_quarantined, now(), aside_);
+    chronicle_.append(EventType::replica_stale, now());
     control_.run();
     begin();
     rumour::Outbox out;
@@ -105,15 +106,15 @@
     changed();
     const int status = wait->outcome->status;
     if (status == 503)
-      chronicle_.append(event::order_unsettled, now(), wait->outcome->body);
+      chronicle_.append(EventType::change_undecided, now(), wait->outcome->body);
     else if (status >= 400)
-      chronicle_.append(event::change_refused, now(), wait->outcome->body);
+      chronicle_.append(EventType::change_rejected, now(), wait->outcome->body);
     else if (is == locus::Order::what::adjust)
-      chronicle_.append(event::change_taken, now());
+      chronicle_.append(EventType::change_committed, now());
     else if (is == locus::Order::what::begin)
-      chronicle_.append(event::zone_emptied, now());
+      chronicle_.append(EventType::zone_evacuated, now());
     else if (is == locus::Order::what::finish)
-      chronicle_.append(event::zone_back, now());
+      chronicle_.append(EventType::zone_restored, now());
     // What was read, or refused, by then says nothing of now where this process stood still since. That a
     // change was taken stays true.
     const bool ages = status != 200 || is == locus::Order::what::read;
@@ -146,20 +147,21 @@
   void after() {
     if (keep_.failed() && !failed_) {
       failed_ = true;
-      chronicle_.append(event::disk_failed, now(),
-                        keep_.failed()->step + " " + keep_.failed()->peer + ": " + keep_.failed()->why);
+      chronicle_.append(EventType::storage_failed, now(),
+                        trove::to_string(keep_.failed()->step) + std::string(" ") + keep_.failed()->peer +
+                            ": " + keep_.failed()->reason);
       io_.stop();
     }
     if (const bool is = keep_.fresh(now()); is != was_fresh_) {
       was_fresh_ = is;
-      chronicle_.append(is ? event::copy_whole : event::copy_lacks, now());
+      chronicle_.append(is ? EventType::replica_current : EventType::replica_stale, now());
     }
     if (keep_.voters().version != epoch_) {
       epoch_ = keep_.voters().version;
       std::string who;
       for (const auto& s : keep_.voters().all())
-        who += fmt::format(" {}", span::text_of(rumour::Machine(std::stoul(s.address))));
-      chronicle_.append(event::voters, now(),
+        who += fmt::format(" {}", span::format_address(rumour::Machine(std::stoul(s.address))));
+      chronicle_.append(EventType::voters_changed, now(),
                         fmt::format("epoch={} changing={} who={}", epoch_, keep_.voters().changing(), who));
     }
     if (leaving_ && keep_.may_go()) io_.stop();
@@ -184,7 +186,7 @@
   }
 
   void learnt() override {}
-  void switched() override { keep_.seeds(machines_of(settings.seeds)); }
+  void switched() override { keep_.seeds(machines_of(settings.seed_nodes)); }
 
   // A seat that somebody can take is given up first.
   void told_to_end() override {
@@ -193,7 +195,8 @@
     rumour::Outbox out;
     keep_.leave(now(), out);
     send(out);
-    last_end_.expires_after(std::chrono::microseconds(std::min<std::int64_t>(settings.grace / 2, 2'500'000)));
+    last_end_.expires_after(
+        std::chrono::microseconds(std::min<std::int64_t>(settings.grace_period / 2, 2'500'000)));
     last_end_.async_wait([this](asio::error_code over) {
       if (!over) io_.stop();
     });
@@ -216,15 +219,15 @@
     out.Key("floor"), out.Uint64(creed_.floor());
     out.Key("items"), out.Uint64(creed_.items().size());
     out.Key("orders"), out.Uint64(keep_.orders());
-    out.Key("datagrams"), out.Uint64(span_->sent);
-    out.Key("datagram_bytes"), out.Uint64(span_->sent_bytes);
+    out.Key("datagrams"), out.Uint64(span_->datagrams_sent);
+    out.Key("datagram_bytes"), out.Uint64(span_->bytes_sent);
     out.Key("core"), out.StartArray();
-    for (const auto m : rumour_.cores()) out.String(span::text_of(m).c_str());
+    for (const auto m : rumour_.cores()) out.String(span::format_address(m).c_str());
     out.EndArray();
     out.Key("peers"), out.StartArray();
     for (const auto& [m, p] : keep_.peers()) {
       out.StartObject();
-      out.Key("machine"), out.String(span::text_of(m).c_str());
+      out.Key("machine"), out.String(span::format_address(m).c_str());
       out.Key("store"), out.String(p.told.store.c_str());
       out.Key("number"), out.Uint64(p.told.holds.number);
       out.Key("votes"), out.Bool(p.told.votes);
@@ -237,7 +240,7 @@
     out.Key("members"), out.StartArray();
     for (const auto& [m, e] : rumour_.roll().entries()) {
       out.StartObject();
-      out.Key("machine"), out.String(span::text_of(m).c_str());
+      out.Key("machine"), out.String(span::format_address(m).c_str());
       out.Key("zone"), out.String(e.record.zone.c_str());
       out.Key("state"), out.String(e.record.lapsed ? "lapsed" : e.record.leaving ? "leaving" : "member");
       out.Key("server"), out.String(e.record.server.c_str());
@@ -249,7 +252,7 @@
   }
 
   node::Sockets sockets_;
-  std::unique_ptr<trove::Trove> trove_;
+  std::unique_ptr<trove::KeyValueStore> trove_;
   locus::Keep keep_;
   port::Port control_;
   asio::steady_timer wakes_, last_end_{io_};
@@ -262,23 +265,23 @@
 // A store that can't be read for what it was is set aside: its machine is one with a lost disk, which the
 // others know how to take in. What was never told from a good one is found by the voters' counters
 // (locus/keep).
-trove::result<std::unique_ptr<trove::Trove>> opened(const std::string& folder, std::string& aside) {
-  const auto usable = [&]() -> trove::result<std::unique_ptr<trove::Trove>> {
-    BOOST_LEAF_AUTO(trove, trove::open(folder));
-    BOOST_LEAF_AUTO(held, trove->all());
+trove::result<std::unique_ptr<trove::KeyValueStore>> opened(const std::string& folder, std::string& aside) {
+  const auto usable = [&]() -> trove::result<std::unique_ptr<trove::KeyValueStore>> {
+    BOOST_LEAF_AUTO(trove, trove::open_leveldb_store(folder));
+    BOOST_LEAF_AUTO(held, trove->read_all());
     BOOST_LEAF_CHECK(locus::kept(held));
     return trove;
   };
   return boost::leaf::try_handle_some(
-      usable, [&](const trove::Trouble& t) -> trove::result<std::unique_ptr<trove::Trove>> {
+      usable, [&](const trove::Error& t) -> trove::result<std::unique_ptr<trove::KeyValueStore>> {
         std::error_code wrong;
-        if (t.step != "damage")
+        if (t.step != trove::Error::Step::corruption)
           return boost::leaf::new_error(t);  // in use, or no room: it may be right again
-        aside = t.step + " " + t.peer + ": " + t.why;
+        aside = trove::to_string(t.step) + std::string(" ") + t.peer + ": " + t.reason;
         std::filesystem::remove_all(folder + ".aside", wrong);  // one is kept, for whoever looks into it
         std::filesystem::rename(folder, folder + ".aside", wrong);
         if (wrong) return boost::leaf::new_error(t);
-        return trove::open(folder);
+        return trove::open_leveldb_store(folder);
       });
 }
 
@@ -287,7 +290,7 @@
 int locus(const Start& start) {
   std::signal(SIGPIPE, SIG_IGN);
   return run_role([&]() -> trove::result<int> {
-    BOOST_LEAF_AUTO(settings, ground::load(start.settings, true));
+    BOOST_LEAF_AUTO(settings, ground::load_settings(start.settings, ground::MachineKind::core));
     std::string aside;
     BOOST_LEAF_AUTO(trove, opened(settings.data_dir + "/trove", aside));
     if (!aside.empty()) settings.first_start = false;
--- a/src/mesh/role.cpp
+++ b/src/mesh/role.cpp
@@ -15,11 +15,11 @@
 constexpr std::int64_t leap =
     1'000'000;  // microseconds beyond its time that a tick may come before it tells of a stop
 
-log::level level_of(chronicle::event e) {
-  using chronicle::event;
-  return e == event::disk_failed || e == event::settings_faulty ? log::level::error
-         : e == event::leapt || e == event::order_unsettled || e == event::copy_lacks ||
-                 e == event::disk_set_aside
+log::level level_of(chronicle::EventType e) {
+  using chronicle::EventType;
+  return e == EventType::storage_failed || e == EventType::settings_rejected ? log::level::error
+         : e == EventType::clock_jumped || e == EventType::change_undecided ||
+                 e == EventType::replica_stale || e == EventType::storage_quarantined
              ? log::level::warning
              : log::level::info;
 }
@@ -35,7 +35,7 @@
 
 std::vector<rumour::Machine> machines_of(const std::vector<std::string>& addresses) {
   std::vector<rumour::Machine> found;
-  for (const auto& a : addresses) found.push_back(span::machine_of(a));
+  for (const auto& a : addresses) found.push_back(span::parse_address(a));
   return found;
 }
 
@@ -46,14 +46,14 @@
 Role::Role(ground::Settings told, std::string path, bool core)
     : held_(std::move(told)),
       chronicle_([](const chronicle::Event& e) {
-        const auto l = level_of(e.number);
+        const auto l = level_of(e.type);
         if (log::writes(log::part::node, l))
-          log::write(log::part::node, l, fmt::format("E{} {}", int(e.number), e.text));
+          log::write(log::part::node, l, fmt::format("E{} {}", int(e.type), e.text));
       }),
-      rumour_({span::machine_of(settings.ip), settings.zone, core}, life(), machines_of(settings.seeds),
-              creed_, chance_of(settings)),
+      rumour_({span::parse_address(settings.ip), settings.zone, core}, life(),
+              machines_of(settings.seed_nodes), creed_, chance_of(settings)),
       begun_(now()),
-      lookout_(ground::path_told(path), core),
+      lookout_(ground::settings_path(path), core),
       timer_(io_),
       learns_(io_),
       signals_(io_, SIGTERM, SIGINT) {
@@ -67,19 +67,20 @@
 }
 
 trove::result<void> Role::open() {
-  BOOST_LEAF_ASSIGN(span_, span::Udp::open(io_, span::machine_of(settings.ip), settings.inner_port));
+  BOOST_LEAF_ASSIGN(span_,
+                    span::UdpTransport::open(io_, span::parse_address(settings.ip), settings.internal_port));
   return {};
 }
 
 void Role::begin() {
-  span_->listen([this](rumour::Machine from, std::string_view datagram) { heard(from, datagram); });
+  span_->set_handler([this](rumour::Machine from, std::string_view datagram) { heard(from, datagram); });
   last_tick_ = now();
   signals();
   tick();
 }
 
 void Role::send(const rumour::Outbox& out) {
-  const rumour::Machine self = span::machine_of(settings.ip);
+  const rumour::Machine self = span::parse_address(settings.ip);
   for (const auto& d : out)
     if (d.to == self)
       asio::post(io_,
@@ -89,7 +90,7 @@
 }
 
 void Role::leave(int code) {
-  chronicle_.append(chronicle::event::ended, now(), fmt::format("code={}", code));
+  chronicle_.append(chronicle::EventType::process_exiting, now(), fmt::format("code={}", code));
   log::finish();
   std::_Exit(code);
 }
@@ -121,7 +122,7 @@
     const bool leapt = at - last_tick_ > leap;
     last_tick_ = at;
     if (leapt) {
-      chronicle_.append(chronicle::event::leapt, at);
+      chronicle_.append(chronicle::EventType::clock_jumped, at);
       rumour::Outbox out;
       rumour_.leapt(at, out);
       send(out);
@@ -130,7 +131,7 @@
     ticked(leapt);
     if (creed_.changes() != items_told_) {
       items_told_ = creed_.changes();
-      chronicle_.append(chronicle::event::items_taken, at,
+      chronicle_.append(chronicle::EventType::items_changed, at,
                         fmt::format("items={} changes={}", creed_.items().size(), items_told_));
     }
     tick();
@@ -144,17 +145,19 @@
         if (!next) return {};
         const bool news = *next != held_;
         held_ = std::move(*next);
-        chronicle_.append(chronicle::event::settings, now(),
+        chronicle_.append(chronicle::EventType::settings_applied, now(),
                           fmt::format("how={} changed={} seeds={}", signalled ? "signal" : "seen", news,
-                                      held_.seeds.size()));
+                                      held_.seed_nodes.size()));
         if (!news) return {};
         rumour::Outbox out;
-        rumour_.seeds(now(), machines_of(held_.seeds), out);
+        rumour_.seeds(now(), machines_of(held_.seed_nodes), out);
         send(out);
         switched();
         return {};
       },
-      [&](const trove::Trouble& t) { chronicle_.append(chronicle::event::settings_faulty, now(), t.why); },
+      [&](const trove::Error& t) {
+        chronicle_.append(chronicle::EventType::settings_rejected, now(), t.reason);
+      },
       [] {});
 }
 
@@ -164,7 +167,7 @@
     if (signal == SIGHUP) {
       look(true);
     } else {
-      chronicle_.append(chronicle::event::ends, now());
+      chronicle_.append(chronicle::EventType::stop_requested, now());
       told_to_end();
     }
     signals();
--- a/src/mesh/role.h
+++ b/src/mesh/role.h
@@ -7,11 +7,12 @@
 #include <string>
 #include <vector>
 
-#include "../chronicle/chronicle.h"
+#include "../chronicle/event_log.h"
 #include "../creed/creed.h"
-#include "../ground/ground.h"
+#include "../ground/settings.h"
 #include "../rumour/rumour.h"
-#include "../span/udp.h"
+#include "../span/address.h"
+#include "../span/udp_transport.h"
 #include "apply_throttle.h"
 #include "lookout.h"
 
@@ -55,10 +56,10 @@
   void changed();
 
   asio::io_context io_;
-  chronicle::Chronicle chronicle_;
+  chronicle::EventLog chronicle_;
   creed::Creed creed_;
   rumour::Rumour rumour_;
-  std::unique_ptr<span::Udp> span_;
+  std::unique_ptr<span::UdpTransport> span_;
   const std::int64_t begun_;
 
  private:
--- a/tests/mesh/stored_data_test.cpp
+++ b/tests/mesh/stored_data_test.cpp
@@ -28,8 +28,10 @@
 
 #include "../../src/locus/disk.h"
 #include "../../src/rehearse/daemon.h"
-#include "../../src/span/udp.h"
-#include "../../src/trove/trove.h"
+#include "../../src/span/udp_transport.h"
+#include "../../src/span/address.h"
+#include "../../src/trove/offline_reader.h"
+#include "../../src/trove/leveldb_store.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -216,12 +218,12 @@
   for (const auto& machine : expected["machines"].GetArray()) {
     const bool is_read = boost::leaf::try_handle_all(
         [&]() -> trove::result<bool> {
-          BOOST_LEAF_AUTO(store, trove::open(stores.store(machine["machine"].GetInt())));
-          BOOST_LEAF_AUTO(pairs, store->all());
+          BOOST_LEAF_AUTO(store, trove::open_leveldb_store(stores.store(machine["machine"].GetInt())));
+          BOOST_LEAF_AUTO(pairs, store->read_all());
           BOOST_LEAF_AUTO(kept, locus::kept(pairs));
           CHECK(kept.own.has_value());
           STRCMP_EQUAL(machine["store"].GetString(), kept.own->store.c_str());
-          STRCMP_EQUAL(machine["settings"]["ip"].GetString(), span::text_of(kept.own->machine).c_str());
+          STRCMP_EQUAL(machine["settings"]["ip"].GetString(), span::format_address(kept.own->machine).c_str());
           LONGS_EQUAL(machine["number"].GetUint64(), kept.own->holds.number);
           LONGS_EQUAL(machine["floor"].GetUint64(), kept.own->floor);
           LONGS_EQUAL(machine["epoch"].GetUint64(), kept.own->voters.version);
@@ -234,7 +236,7 @@
             const consensus::Seat* seat = kept.own->voters.seat(voter["store"].GetString());
             CHECK(seat != nullptr);
             STRCMP_EQUAL(voter["machine"].GetString(),
-                         span::text_of(rumour::Machine(std::stoul(seat->address))).c_str());
+                         span::format_address(rumour::Machine(std::stoul(seat->address))).c_str());
           }
           const auto& items = expected["items"];
           LONGS_EQUAL(items.Size(), kept.items.size());
@@ -249,8 +251,8 @@
           }
           return true;
         },
-        [](const trove::Trouble& trouble) {
-          FAIL((trouble.step + " " + trouble.peer + ": " + trouble.why).c_str());
+        [](const trove::Error& trouble) {
+          FAIL((trove::to_string(trouble.step) + std::string(" ") + trouble.peer + ": " + trouble.reason).c_str());
           return false;
         },
         [] { return false; });
--- a/tests/mesh/udp_test.cpp
+++ b/tests/mesh/udp_test.cpp
@@ -6,7 +6,8 @@
 #include <vector>
 
 #include "../../src/rumour/rumour.h"
-#include "../../src/span/udp.h"
+#include "../../src/span/udp_transport.h"
+#include "../../src/span/address.h"
 #include "help.h"
 
 #include <CppUTest/TestHarness.h>
@@ -32,7 +33,7 @@
           rumour::Self{n.machine, std::string("zone-") + char('a' + i % 3), i < seeds.size()}, 1, seeds,
           n.creed, std::uint32_t(i + 1));
       n.rumour->whole(i < seeds.size());
-      n.udp->listen([this, &n](rumour::Machine from, std::string_view bytes) {
+      n.udp->set_handler([this, &n](rumour::Machine from, std::string_view bytes) {
         act(n, [&](rumour::Outbox& out) { n.rumour->heard(now(), from, bytes, out); });
       });
       act(n, [&](rumour::Outbox& out) { n.rumour->state(now(), {}, out); });
@@ -70,9 +71,9 @@
     rumour::Machine machine = 0;
     creed::Creed creed;
     std::unique_ptr<rumour::Rumour> rumour;
-    std::unique_ptr<span::Udp> udp;
+    std::unique_ptr<span::UdpTransport> udp;
   };
-  static rumour::Machine address(int i) { return span::machine_of("127.0.22.1") + rumour::Machine(i); }
+  static rumour::Machine address(int i) { return span::parse_address("127.0.22.1") + rumour::Machine(i); }
   static std::int64_t now() {
     return std::chrono::duration_cast<std::chrono::microseconds>(steady_clock::now().time_since_epoch())
         .count();
@@ -82,7 +83,7 @@
       auto n = std::make_unique<Node>();
       n->machine = address(i);
       mesh_test::trouble_of<void>([&]() -> trove::result<void> {
-        BOOST_LEAF_ASSIGN(n->udp, span::Udp::open(io_, n->machine, port));
+        BOOST_LEAF_ASSIGN(n->udp, span::UdpTransport::open(io_, n->machine, port));
         return {};
       });
       if (!n->udp) return nodes_.clear();
@@ -129,20 +130,20 @@
 TEST(Udp, a_burst_of_a_hundred_datagrams_waits_for_a_reader_that_is_late_where_the_kernel_grants_it) {
   constexpr std::size_t count = 100, size = 12'000;
   asio::io_context io;
-  std::unique_ptr<span::Udp> a, b;
-  const auto at_a = span::machine_of("127.0.23.1"), at_b = span::machine_of("127.0.23.2");
+  std::unique_ptr<span::UdpTransport> a, b;
+  const auto at_a = span::parse_address("127.0.23.1"), at_b = span::parse_address("127.0.23.2");
   for (std::uint16_t port = 22'400; !b && port < 22'800; ++port) {
     a.reset();
     mesh_test::trouble_of<void>([&]() -> trove::result<void> {
-      BOOST_LEAF_ASSIGN(a, span::Udp::open(io, at_a, port));
-      BOOST_LEAF_ASSIGN(b, span::Udp::open(io, at_b, port));
+      BOOST_LEAF_ASSIGN(a, span::UdpTransport::open(io, at_a, port));
+      BOOST_LEAF_ASSIGN(b, span::UdpTransport::open(io, at_b, port));
       return {};
     });
   }
   CHECK(a && b);
   std::size_t heard = 0, granted = 0;
   std::ifstream("/proc/sys/net/core/rmem_max") >> granted;
-  b->listen([&](rumour::Machine, std::string_view) { ++heard; });
+  b->set_handler([&](rumour::Machine, std::string_view) { ++heard; });
   for (std::size_t i = 0; i < count; ++i) a->send(at_b, std::string(size, 'x'));
   io.run_for(500ms);
   // The kernel takes twice what is granted, as it counts more than payload.
