--- a/bench/mesh_size.cpp
+++ b/bench/mesh_size.cpp
@@ -19,8 +19,8 @@
 #include <set>
 #include <unordered_map>
 
-#include "../src/ambit/choices.h"
-#include "../tests/mesh/fleet.h"
+#include "../src/sidecar/service_balancers.h"
+#include "../tests/mesh/simulated_core.h"
 
 namespace {
 std::int64_t live_bytes = 0;  // held by new, with the allocator's own
@@ -40,9 +40,9 @@
 namespace {
 
 using namespace robinpin;
+using gossip::Machine;
 using mesh_test::Fleet;
-using rumour::Machine;
-using What = locus::Order::what;
+using What = control_plane::OperatorRequest::what;
 constexpr std::int64_t second = 1'000'000;
 constexpr double aimed_at = 12'000;
 
@@ -116,7 +116,7 @@
 };
 Table table;
 
-std::string hex(std::uint64_t v) { return creed::version_text(v); }
+std::string hex(std::uint64_t v) { return configuration::version_text(v); }
 
 // A change of one route of the first call's.
 std::string route_call(int route, std::uint64_t version) {
@@ -142,8 +142,8 @@
     muted_ = true;
     for (int i = 0; i < ambits; ++i) {
       if (i >= live_) {
-        rumour::Record r = record_of(i);
-        r.machine = ambit(i), r.life = 1, r.word = 2, r.zone = zone_of(i);
+        gossip::MemberRecord r = record_of(i);
+        r.machine = ambit(i), r.incarnation = 1, r.sequence = 2, r.zone = zone_of(i);
         ghosts_.push_back(ambit(i)), records_.push_back(r);
         continue;
       }
@@ -155,7 +155,7 @@
     }
     for (const auto& [m, n] : nodes) {
       slots_[m % slots_.size()].push_back(m);
-      records_.push_back(*n.rumour->roll().find(m));
+      records_.push_back(*n.rumour->members().find(m));
     }
     fill(o.items);
     muted_ = false;
@@ -170,21 +170,21 @@
     run(2 * second);
     if (settled(core(0), What::adjust, mesh_test::first_call(hex(1), std::max(1, items - 3))) != 200)
       faults.push_back("the items are not taken");
-    std::vector<creed::Item> all;
+    std::vector<configuration::VersionedItem> all;
     for (const auto& [name, item] : nodes.at(core(0)).creed->items()) all.push_back(item);
     std::vector<std::string> bytes;
-    for (auto& piece : rumour::pieces_of(std::move(all)))
-      bytes.push_back(rumour::written(rumour::kind::news, rumour::News{std::move(piece), {}}));
+    for (auto& piece : gossip::pieces_of(std::move(all)))
+      bytes.push_back(gossip::written(gossip::kind::news, gossip::UpdateMessage{std::move(piece), {}}));
     for (std::size_t i = 0; i < records_.size(); i += 200)
-      bytes.push_back(rumour::written(
-          rumour::kind::news,
-          rumour::News{{},
-                       {records_.begin() + std::ptrdiff_t(i),
-                        records_.begin() + std::ptrdiff_t(std::min(i + 200, records_.size()))}}));
+      bytes.push_back(gossip::written(
+          gossip::kind::news,
+          gossip::UpdateMessage{{},
+                                {records_.begin() + std::ptrdiff_t(i),
+                                 records_.begin() + std::ptrdiff_t(std::min(i + 200, records_.size()))}}));
     for (auto& [m, n] : nodes) {
-      rumour::Outbox out;
+      gossip::Outbox out;
       for (const auto& b : bytes) {
-        n.rumour->heard(net.now, core(0) == m ? core(1) : core(0), b, out);
+        n.rumour->on_datagram(net.now, core(0) == m ? core(1) : core(0), b, out);
         out.clear();
       }
     }
@@ -237,8 +237,8 @@
   }
   void silent() { ghosts_.clear(); }
   void plans_only(Machine m) { plans_only_ = m; }
-  static rumour::Record record_of(int i) {
-    rumour::Record r;
+  static gossip::MemberRecord record_of(int i) {
+    gossip::MemberRecord r;
     r.server = "sv-" + std::to_string(1'000'000 + i) + "-1",
     r.service = "service-" + std::to_string(i % 1100),
     r.address = "10.20." + std::to_string(100 + i / 250 % 100) + "." + std::to_string(i % 250) + ":8628";
@@ -249,14 +249,14 @@
 
  protected:
   void look(Node&) override {}
-  void heard(Machine m, Machine from, std::string_view bytes) override {
+  void on_datagram(Machine m, Machine from, std::string_view bytes) override {
     Meter& t = meters[m];
     ++t.got, t.got_bytes += bytes.size();
-    Fleet::heard(m, from, bytes);
+    Fleet::on_datagram(m, from, bytes);
   }
-  void called(Machine m, Node& n, const std::function<void(rumour::Outbox&)>& call) override {
+  void called(Machine m, Node& n, const std::function<void(gossip::Outbox&)>& call) override {
     Meter& t = meters[m];
-    rumour::Outbox out;
+    gossip::Outbox out;
     const auto begun = cpu_now();
     call(out);
     if (!n.core && (plans_only_ == 0 || plans_only_ == m) && n.creed->changes() != plans_[m].of)
@@ -265,18 +265,19 @@
     for (const auto& d : out) {
       ++t.sent, t.sent_bytes += d.bytes.size();
       t.longest = std::max(t.longest, d.bytes.size());
-      t.dropped += d.bytes.size() > rumour::longest_datagram;
+      t.dropped += d.bytes.size() > gossip::longest_datagram;
     }
     if (!watched_.empty() && !reached.contains(m))
-      if (const creed::Item* i = n.creed->find(watched_); i && i->version >= version_)
+      if (const configuration::VersionedItem* i = n.creed->find(watched_); i && i->version >= version_)
         reached[m] = net.now - since_;
     if (!muted_) send(m, out);
   }
 
  private:
   struct Planned {
-    std::unique_ptr<creed::Planner> planner = std::make_unique<creed::Planner>();
-    std::shared_ptr<const creed::Plan> plan;
+    std::unique_ptr<configuration::RouteTableBuilder> planner =
+        std::make_unique<configuration::RouteTableBuilder>();
+    std::shared_ptr<const configuration::RouteTable> plan;
     std::uint64_t of = 0;
     std::int64_t next = 0;
   };
@@ -285,16 +286,17 @@
     if (muted_ || net.now < p.next) return;
     p.of = n.creed->changes();
     const auto begun = cpu_now();
-    p.plan = p.planner->plan_of(*n.creed);
+    p.plan = p.planner->build(*n.creed);
     p.next = net.now + std::max<std::int64_t>(20'000, (cpu_now() - begun) / 1000 * 9);
   }
   // Of those who do not run: each second step of half a second a digest to one of the core and to one of all.
   void ghosts() {
     const Node& like = nodes.at(ambit(live_ - 1));  // who is never ended
-    rumour::Told t;
+    gossip::DigestMessage t;
     t.whole = true;
-    t.items = like.creed->digest(), t.records = like.rumour->roll().digest(), t.cores = like.rumour->cores();
-    const std::string bytes = rumour::written(rumour::kind::digest, t);
+    t.items = like.creed->digest(), t.records = like.rumour->members().digest(),
+    t.cores = like.rumour->cores();
+    const std::string bytes = gossip::written(gossip::kind::digest, t);
     const double part = double(live_) / double(live_ + int(ghosts_.size()));
     for (std::size_t i = step_ % 100; i < ghosts_.size(); i += 100) {
       net.send(ghosts_[i], t.cores[chance() % t.cores.size()], bytes);
@@ -312,7 +314,7 @@
   std::int64_t next_step_ = 5'000;
   std::array<std::vector<Machine>, 20> slots_;
   std::vector<Machine> ghosts_;
-  std::vector<rumour::Record> records_;
+  std::vector<gossip::MemberRecord> records_;
   std::unordered_map<Machine, Planned> plans_;
   std::string watched_;
   std::uint64_t version_ = 0;
@@ -440,7 +442,8 @@
     const auto before = f.meters;
     std::vector<double> ready, whole, own;
     std::set<Machine> restarted;
-    const std::size_t members = std::min(std::size_t(n) + std::size_t(o.cores), rumour::Roll::most);
+    const std::size_t members =
+        std::min(std::size_t(n) + std::size_t(o.cores), gossip::MembershipTable::most);
     for (int i = 0; i < restarts; ++i) {
       const Machine m = Fleet::ambit(i);
       restarted.insert(m);
@@ -455,7 +458,7 @@
         f.run(1'000);
         if (ms == 300) f.state(m, Sized::record_of(i));
         if (caught < 0 && f.nodes.at(m).rumour->caught_up()) caught = ms + 1;
-        if (full < 0 && f.nodes.at(m).rumour->roll().entries().size() >= members) full = ms + 1;
+        if (full < 0 && f.nodes.at(m).rumour->members().entries().size() >= members) full = ms + 1;
       }
       f.run(std::max<std::int64_t>(0, gap * second - (f.net.now - begun)));
       const Meter& now = f.meters[m];
@@ -511,8 +514,9 @@
     };
     for (const Machine m : gone) f.kill(m);
     for (int s = 0; s < 7; ++s) a_second();
-    std::size_t lapsed = 0;
-    for (const auto& [m, e] : f.nodes.at(Fleet::core(0)).rumour->roll().entries()) lapsed += e.record.lapsed;
+    std::size_t expired = 0;
+    for (const auto& [m, e] : f.nodes.at(Fleet::core(0)).rumour->members().entries())
+      expired += e.record.expired;
     const auto begun = f.net.now;
     for (const Machine m : gone) f.nodes.at(m).record = {}, f.start(m);
     f.run(300'000);
@@ -522,17 +526,17 @@
     while (alike < 0 && f.net.now - begun < 40 * second) {
       a_second();
       behind = unlike = 0;
-      const auto& like = f.nodes.at(Fleet::core(0)).rumour->roll().digest();
+      const auto& like = f.nodes.at(Fleet::core(0)).rumour->members().digest();
       for (const auto& [m, node] : f.nodes)
-        behind += !node.core && !node.rumour->caught_up(), unlike += node.rumour->roll().digest() != like;
+        behind += !node.core && !node.rumour->caught_up(), unlike += node.rumour->members().digest() != like;
       if (behind == 0 && caught < 0) caught = double(f.net.now - begun) / 1e6;
       if (unlike == 0) alike = double(f.net.now - begun) / 1e6;
     }
     const double seconds = 7 + double(f.net.now - begun) / 1e6;
     std::printf(
-        "zone      %6d %zu gone, %zu marked lapsed; back: all caught up within %.1f s, all rolls alike "
+        "zone      %6d %zu gone, %zu marked expired; back: all caught up within %.1f s, all rolls alike "
         "within %.1f s (-1: not within 40; then %d not caught up, %d rolls unlike core 0's)\n",
-        n, gone.size(), lapsed, caught, alike, behind, unlike);
+        n, gone.size(), expired, caught, alike, behind, unlike);
     for (const Group& g : groups) {
       const Cost x = cost(f, g.core, before, g.of, g.but);
       const Cost& i = idle_cost[g.core];
@@ -674,7 +678,7 @@
     const auto idle_cost = rest(f, 5);
     const auto before = f.meters;
     struct Open {
-      std::shared_ptr<std::optional<locus::Outcome>> outcome;
+      std::shared_ptr<std::optional<control_plane::RequestOutcome>> outcome;
       std::int64_t begun = 0;
     };
     std::vector<Open> open(8);
@@ -707,7 +711,7 @@
   }
 }
 
-// All members fall silent at once, and only the core goes on: whom does it mark lapsed, ten seconds later?
+// All members fall silent at once, and only the core goes on: whom does it mark expired, ten seconds later?
 void leases(const Options& o) {
   for (const int n : o.sizes) {
     Options with = o;
@@ -717,14 +721,14 @@
       if (!node.core) f.kill(m);
     f.silent();
     f.run(12 * second);
-    std::size_t lapsed = 0;
-    const auto& entries = f.nodes.at(Fleet::core(0)).rumour->roll().entries();
-    for (const auto& [m, e] : entries) lapsed += e.record.lapsed;
+    std::size_t expired = 0;
+    const auto& entries = f.nodes.at(Fleet::core(0)).rumour->members().entries();
+    for (const auto& [m, e] : entries) expired += e.record.expired;
     const Cost c = cost(f, true);
     std::printf(
         "leases    %6d members, %zu in the roll: longest datagram between cores %.0f, %.0f too long to be "
-        "sent; marked lapsed after 12 s: %zu\n",
-        n, entries.size(), c.longest, c.dropped, lapsed);
+        "sent; marked expired after 12 s: %zu\n",
+        n, entries.size(), c.longest, c.dropped, expired);
     std::fflush(stdout);
   }
 }
@@ -734,35 +738,37 @@
   for (const int n : o.sizes) {
     auto held = live_bytes;
     const auto since = [&] { return double(live_bytes - std::exchange(held, live_bytes)); };
-    rumour::Roll roll;
-    std::vector<rumour::Record> records;
+    gossip::MembershipTable roll;
+    std::vector<gossip::MemberRecord> records;
     for (int i = 0; i < n; ++i) {
-      rumour::Record r = Sized::record_of(i);
-      r.machine = Fleet::ambit(i), r.life = 1'700'000'000'000, r.word = 2, r.zone = Sized::zone_of(i);
+      gossip::MemberRecord r = Sized::record_of(i);
+      r.machine = Fleet::ambit(i), r.incarnation = 1'700'000'000'000, r.sequence = 2,
+      r.zone = Sized::zone_of(i);
       records.push_back(r);
     }
     since();
     for (const auto& r : records) roll.take(r, 0);
     const double record = since() / n;
     const std::size_t taken = roll.entries().size();
-    creed::Creed creed;
-    const creed::Change change = creed::read_change(mesh_test::first_call(hex(1), std::max(1, n - 3)), creed);
+    configuration::ConfigurationStore creed;
+    const configuration::ConfigurationChange change =
+        configuration::read_change(mesh_test::first_call(hex(1), std::max(1, n - 3)), creed);
     std::size_t sent = 0;
-    for (const auto& i : change.items) sent += rumour::size_of(i);
+    for (const auto& i : change.items) sent += gossip::size_of(i);
     since();
     for (const auto& i : change.items) creed.take(i);
     const double item = since() / double(change.items.size());
-    auto planner = std::make_unique<creed::Planner>();
+    auto planner = std::make_unique<configuration::RouteTableBuilder>();
     auto begun = cpu_now();
-    auto plan = planner->plan_of(creed);
+    auto plan = planner->build(creed);
     const double first = double(cpu_now() - begun) / 1000;
     const double planned = since() / double(change.items.size());
     creed.take({"c/r0", 2, false, change.items.back().text});
     begun = cpu_now();
-    plan = planner->plan_of(creed);
+    plan = planner->build(creed);
     const double again = double(cpu_now() - begun) / 1000;
     begun = cpu_now();
-    const std::string read = creed::written_out(creed);
+    const std::string read = configuration::written_out(creed);
     const double writing = double(cpu_now() - begun) / 1000;
     std::printf(
         "memory    %6d records: %zu taken, %.0f bytes each; items: %.0f bytes each (%.0f in a datagram), in "
@@ -774,7 +780,7 @@
     // An ambit whose routes lead to all services, ten machines a service.
     const int services = std::max(1, n / 11);
     std::string rows, targets;
-    creed::Creed wide;
+    configuration::ConfigurationStore wide;
     for (int i = 0; i < services; ++i) {
       const std::string s = "service-" + std::to_string(i);
       wide.take({"t/" + s, 1, false,
@@ -787,27 +793,27 @@
                R"(/","mode":"idempotent","deadline":"4000ms","setpoint_time":"600ms","rank":1,"tries":2,"target":")" +
                s + R"("})"});
     }
-    rumour::Roll across;
+    gossip::MembershipTable across;
     for (int i = 0; i < n; ++i) {
       records[std::size_t(i)].service = "service-" + std::to_string(i % services);
       across.take(records[std::size_t(i)], 0);
     }
-    creed::Planner wide_planner;
-    const auto wide_plan = wide_planner.plan_of(wide);
+    configuration::RouteTableBuilder wide_planner;
+    const auto wide_plan = wide_planner.build(wide);
     asio::io_context io;
     node::Clock clock;
     node::Counters counters;
-    ground::Settings settings;
+    bootstrap::Settings settings;
     settings.zone = "zone-10";
     since();
     {
-      ambit::Choices choices(io, clock, counters, settings, 1);
+      sidecar::ServiceBalancers choices(io, clock, counters, settings, 1);
       choices.plan(*wide_plan);
       const double desks = since();
       choices.servers(across, *wide_plan, 0);
       const double servers = since();
-      rumour::Record r = records[0];
-      r.word = 3, r.draining = true;
+      gossip::MemberRecord r = records[0];
+      r.sequence = 3, r.draining = true;
       across.take(r, 0);
       begun = cpu_now();
       choices.servers(across, *wide_plan, 0);
--- a/bench/trove_figures.cpp
+++ b/bench/storage_figures.cpp
@@ -11,11 +11,11 @@
 #include <string>
 #include <vector>
 
-#include "../src/trove/leveldb_store.h"
+#include "../src/storage/leveldb_store.h"
 
 namespace {
 
-using robinpin::trove::KeyValueStore;
+using robinpin::storage::KeyValueStore;
 using Durability = KeyValueStore::Durability;
 using Clock = std::chrono::steady_clock;
 
@@ -44,8 +44,8 @@
   using Value = std::decay_t<decltype(function().value())>;
   return boost::leaf::try_handle_all(
       function,
-      [](const robinpin::trove::Error& error) -> Value {
-        std::fprintf(stderr, "%s %s: %s\n", robinpin::trove::to_string(error.step), error.peer.c_str(),
+      [](const robinpin::storage::Error& error) -> Value {
+        std::fprintf(stderr, "%s %s: %s\n", robinpin::storage::to_string(error.step), error.peer.c_str(),
                      error.reason.c_str());
         std::exit(1);
       },
@@ -53,11 +53,11 @@
 }
 
 std::unique_ptr<KeyValueStore> open_store(const std::string& folder) {
-  return value_or_exit([&] { return robinpin::trove::open_leveldb_store(folder); });
+  return value_or_exit([&] { return robinpin::storage::open_leveldb_store(folder); });
 }
 
 void write(KeyValueStore& store, const KeyValueStore::WriteBatch& batch, Durability durability) {
-  value_or_exit([&]() -> robinpin::trove::result<int> {
+  value_or_exit([&]() -> robinpin::storage::result<int> {
     BOOST_LEAF_CHECK(store.write(batch, durability));
     return 0;
   });
--- a/src/gate/gate.h
+++ b/src/admission/admission_controller.h
@@ -8,7 +8,7 @@
 #include <limits>
 #include <string>
 
-namespace robinpin::gate {
+namespace robinpin::admission {
 
 // Why a request is held back before the server has heard of it; `none`: it may go on.
 enum class held { none, no_server, other_instance, draining, emptied, cold, crowded, unready };
@@ -24,7 +24,7 @@
   std::int64_t heard = 0;  // the last beat
 };
 
-class Gate {
+class AdmissionController {
  public:
   struct Bounds {
     bool known = true;  // what is in force here: who has not caught up knows neither its service's bounds nor
@@ -50,8 +50,8 @@
   static constexpr double late_part = 0.1;
   static constexpr std::int64_t second = 1'000'000;
 
-  // What a server says of itself. False for a late beat of the life at hand, or of one that another has
-  // followed.
+  // What a server says of itself. False for a late beat of the incarnation at hand, or of one that another
+  // has followed.
   bool beat(std::int64_t now, Server told, std::int64_t cold_left) {
     const bool same = told.id == server_.id;
     if (same && (told.sequence <= server_.sequence || gone_))
@@ -67,7 +67,7 @@
     }
     told.heard = now;
     told.cold_until = cold_left > 0 ? now + cold_left : 0;
-    told.draining = told.draining || (same && server_.draining);  // no way back within a life
+    told.draining = told.draining || (same && server_.draining);  // no way back within a incarnation
     server_ = std::move(told);
     return true;
   }
@@ -191,4 +191,4 @@
   std::deque<std::int64_t> sent_, ended_;  // of the last second
 };
 
-}  // namespace robinpin::gate
+}  // namespace robinpin::admission
--- a/src/mesh/apply_throttle.h
+++ b/src/app/apply_throttle.h
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <cstdint>
 
-namespace robinpin::mesh {
+namespace robinpin::app {
 
 class ApplyThrottle {
  public:
@@ -25,4 +25,4 @@
   std::int64_t next_ = 0;
 };
 
-}  // namespace robinpin::mesh
+}  // namespace robinpin::app
--- a/src/mesh/command.cpp
+++ b/src/app/command.cpp
@@ -8,26 +8,26 @@
 #include <sstream>
 #include <string_view>
 
-#include "../locus/disk.h"
+#include "../control_plane/persistence.h"
 #include "../log/log.h"
-#include "../span/address.h"
-#include "../trove/offline_reader.h"
-#include "role.h"
+#include "../storage/offline_reader.h"
+#include "../transport/address.h"
+#include "mesh_process.h"
 
-namespace robinpin::mesh {
+namespace robinpin::app {
 
 namespace {
 constexpr int good = 0, faulty = 1, misused = 2;
 
 int checked(const std::string& path, bool core) {
   return boost::leaf::try_handle_all(
-      [&]() -> trove::result<int> {
-        BOOST_LEAF_AUTO(
-            s, ground::load_settings(path, core ? ground::MachineKind::core : ground::MachineKind::server));
-        fmt::print("{}: good, {} in {}\n", ground::settings_path(path), s.node, s.zone);
+      [&]() -> storage::result<int> {
+        BOOST_LEAF_AUTO(s, bootstrap::load_settings(
+                               path, core ? bootstrap::MachineKind::core : bootstrap::MachineKind::server));
+        fmt::print("{}: good, {} in {}\n", bootstrap::settings_path(path), s.node, s.zone);
         return good;
       },
-      [](const trove::Error& t) {
+      [](const storage::Error& t) {
         fmt::print(stderr, "{}: {}", t.peer, t.reason);
         return faulty;
       },
@@ -36,27 +36,27 @@
 
 std::string machine_text(const std::string& seat_address) {
   try {
-    return span::format_address(rumour::Machine(std::stoul(seat_address)));
+    return transport::format_address(gossip::Machine(std::stoul(seat_address)));
   } catch (const std::exception&) {
     return seat_address;
   }
 }
 
 // What a core's store holds while its process is stopped.
-int told_of(const trove::OfflineContents& look, bool items) {
+int told_of(const storage::OfflineContents& look, bool items) {
   for (const auto& d : look.corruption) fmt::print("damaged: {}\n", d);
   return boost::leaf::try_handle_all(
-      [&]() -> trove::result<int> {
-        BOOST_LEAF_AUTO(kept, locus::kept(look.entries));
+      [&]() -> storage::result<int> {
+        BOOST_LEAF_AUTO(kept, control_plane::kept(look.entries));
         if (!kept.own) {
           fmt::print("empty: {} bytes\n", look.size_on_disk);
           return look.corruption.empty() ? good : faulty;
         }
-        const locus::Own& own = *kept.own;
+        const control_plane::StoreHeader& own = *kept.own;
         std::size_t dropped = 0;
         for (const auto& i : kept.items) dropped += i.dropped;
-        fmt::print("store {} of {}, counter {}, {} bytes\n", own.store, span::format_address(own.machine),
-                   own.counter, look.size_on_disk);
+        fmt::print("store {} of {}, counter {}, {} bytes\n", own.store,
+                   transport::format_address(own.machine), own.counter, look.size_on_disk);
         fmt::print("number {} by {}, floor {}; {} items, {} dropped\n", own.holds.number,
                    own.holds.by.empty() ? "nobody" : own.holds.by, own.floor, kept.items.size() - dropped,
                    dropped);
@@ -75,8 +75,8 @@
                        i.text);
         return look.corruption.empty() ? good : faulty;
       },
-      [](const trove::Error& t) {
-        fmt::print("damaged: {} {}: {}\n", trove::to_string(t.step), t.peer, t.reason);
+      [](const storage::Error& t) {
+        fmt::print("damaged: {} {}: {}\n", storage::to_string(t.step), t.peer, t.reason);
         return faulty;
       },
       [] { return faulty; });
@@ -99,12 +99,12 @@
       return told["help"] ? good : misused;
     }
     return boost::leaf::try_handle_all(
-        [&]() -> trove::result<int> {
-          BOOST_LEAF_AUTO(look, trove::read_offline(told.pos[0]));
+        [&]() -> storage::result<int> {
+          BOOST_LEAF_AUTO(look, storage::read_offline(told.pos[0]));
           return told_of(look, bool(told["items"]));
         },
-        [](const trove::Error& t) {
-          fmt::print(stderr, "robinpin store: {} {}: {}\n", trove::to_string(t.step), t.peer, t.reason);
+        [](const storage::Error& t) {
+          fmt::print(stderr, "robinpin store: {} {}: {}\n", storage::to_string(t.step), t.peer, t.reason);
           return faulty;
         },
         [] { return faulty; });
@@ -166,4 +166,4 @@
   }
 }
 
-}  // namespace robinpin::mesh
+}  // namespace robinpin::app
--- a/src/mesh/role.h
+++ b/src/app/mesh_process.h
@@ -7,16 +7,16 @@
 #include <string>
 #include <vector>
 
-#include "../chronicle/event_log.h"
-#include "../creed/creed.h"
-#include "../ground/settings.h"
-#include "../rumour/rumour.h"
-#include "../span/address.h"
-#include "../span/udp_transport.h"
+#include "../bootstrap/settings.h"
+#include "../configuration/configuration_store.h"
+#include "../event_log/event_log.h"
+#include "../gossip/gossip.h"
+#include "../transport/address.h"
+#include "../transport/udp_transport.h"
 #include "apply_throttle.h"
-#include "lookout.h"
+#include "settings_watcher.h"
 
-namespace robinpin::mesh {
+namespace robinpin::app {
 
 struct Start {
   std::string settings;  // a path, or empty: as ROBINPIN_CONFIG says
@@ -26,23 +26,23 @@
 int ambit(const Start& start);
 int locus(const Start& start);
 
-class Role {
+class MeshProcess {
  public:
-  Role(ground::Settings settings, std::string path, bool core);
-  virtual ~Role() = default;
+  MeshProcess(bootstrap::Settings settings, std::string path, bool core);
+  virtual ~MeshProcess() = default;
 
  private:
-  ground::Settings held_;
+  bootstrap::Settings held_;
 
  public:
-  const ground::Settings& settings = held_;  // what parts hold on to: as last taken on
+  const bootstrap::Settings& settings = held_;  // what parts hold on to: as last taken on
 
  protected:
-  trove::result<void> open();  // the span
-  void begin();                // ticks and signals
-  void send(const rumour::Outbox& out);
+  storage::result<void> open();  // the span
+  void begin();                  // ticks and signals
+  void send(const gossip::Outbox& out);
   std::int64_t now() const;
-  virtual void heard(rumour::Machine from, std::string_view datagram) = 0;
+  virtual void on_datagram(gossip::Machine from, std::string_view datagram) = 0;
   virtual void ticked(bool leapt) = 0;  // every 100 ms or so
   virtual void told_to_end() = 0;
   // What was learnt may change what this process acts on.
@@ -56,17 +56,17 @@
   void changed();
 
   asio::io_context io_;
-  chronicle::EventLog chronicle_;
-  creed::Creed creed_;
-  rumour::Rumour rumour_;
-  std::unique_ptr<span::UdpTransport> span_;
+  event_log::EventLog event_log_;
+  configuration::ConfigurationStore configuration_;
+  gossip::Gossip gossip_;
+  std::unique_ptr<transport::UdpTransport> transport_;
   const std::int64_t begun_;
 
  private:
   void tick();
   void signals();
   void look(bool signalled);
-  Lookout lookout_;
+  SettingsWatcher settings_watcher_;
   asio::steady_timer timer_, learns_;
   asio::signal_set signals_;
   std::int64_t last_tick_ = 0;
@@ -75,7 +75,7 @@
   std::uint64_t items_seen_ = 0, records_seen_ = 0, items_told_ = 0;
 };
 
-std::uint32_t chance_of(const ground::Settings& s);
-std::vector<rumour::Machine> machines_of(const std::vector<std::string>& addresses);
+std::uint32_t chance_of(const bootstrap::Settings& s);
+std::vector<gossip::Machine> machines_of(const std::vector<std::string>& addresses);
 
-}  // namespace robinpin::mesh
+}  // namespace robinpin::app
--- a/src/mesh/lookout.h
+++ b/src/app/settings_watcher.h
@@ -7,23 +7,23 @@
 #include <string>
 #include <tuple>
 
-#include "../ground/settings.h"
+#include "../bootstrap/settings.h"
 
-namespace robinpin::mesh {
+namespace robinpin::app {
 
-class Lookout {
+class SettingsWatcher {
  public:
   static constexpr std::int64_t every = 2'000'000;  // microseconds between looks without a signal
 
   // `path`: of the file that the process began with.
-  Lookout(std::string path, bool core) : path_(std::move(path)), core_(core) {}
+  SettingsWatcher(std::string path, bool core) : path_(std::move(path)), core_(core) {}
 
   // What is to be taken on in place of `old`; nothing where there is no news, and always something at a
   // signal. May be called often: the file is looked at only each `every`, or at once where `signalled`.
   // Errors: all faults of the file, or all of it that needs a new start, a line each with its pointer;
   // without a signal not the same ones again.
-  trove::result<std::optional<ground::Settings>> look(std::int64_t now, bool signalled,
-                                                      const ground::Settings& old);
+  storage::result<std::optional<bootstrap::Settings>> look(std::int64_t now, bool signalled,
+                                                           const bootstrap::Settings& old);
 
  private:
   using Stamp = std::tuple<std::uint64_t, std::uint64_t, std::int64_t, std::int64_t, std::int64_t>;
@@ -37,4 +37,4 @@
   std::string faults_;          // as last told; none since a good file
 };
 
-}  // namespace robinpin::mesh
+}  // namespace robinpin::app
--- a/src/mesh/shutdown_schedule.h
+++ b/src/app/shutdown_schedule.h
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <cstdint>
 
-namespace robinpin::mesh {
+namespace robinpin::app {
 
 struct ShutdownSchedule {
   // Requests read from then on are refused, unrun: callers' lists lag, and a server might still be at work on
@@ -24,4 +24,4 @@
   }
 };
 
-}  // namespace robinpin::mesh
+}  // namespace robinpin::app
--- a/src/ground/settings.cpp
+++ b/src/bootstrap/settings.cpp
@@ -11,9 +11,9 @@
 #include <fstream>
 #include <sstream>
 
-#include "../creed/adjust.h"
+#include "../configuration/configuration_change.h"
 
-namespace robinpin::ground {
+namespace robinpin::bootstrap {
 
 namespace {
 
@@ -85,7 +85,7 @@
   void read_duration(const std::string& pointer, std::int64_t& microseconds) {
     const Value* value = find(pointer);
     if (!value) return;
-    const long long duration = value->IsString() ? creed::span_of(text_of(*value)) : -1;
+    const long long duration = value->IsString() ? configuration::span_of(text_of(*value)) : -1;
     if (duration < 0)
       add_fault(pointer, "no time like 1500ms or 2.5s");
     else
@@ -216,11 +216,11 @@
 
 }  // namespace
 
-trove::result<Settings> parse_settings(std::string_view text, MachineKind kind) {
-  using Step = trove::Error::Step;
+storage::result<Settings> parse_settings(std::string_view text, MachineKind kind) {
+  using Step = storage::Error::Step;
   rapidjson::Document document;
   if (document.Parse(text.data(), text.size()).HasParseError())
-    return boost::leaf::new_error(trove::Error{Step::parse, document_name, syntax_fault(document)});
+    return boost::leaf::new_error(storage::Error{Step::parse, document_name, syntax_fault(document)});
   DocumentReader reader(document);
   Settings settings;
   if (document.IsObject())
@@ -228,7 +228,7 @@
   else
     reader.add_fault("", "no object");
   if (!reader.faults().empty())
-    return boost::leaf::new_error(trove::Error{Step::read, document_name, reader.faults()});
+    return boost::leaf::new_error(storage::Error{Step::read, document_name, reader.faults()});
   return settings;
 }
 
@@ -238,17 +238,17 @@
   return from_environment ? from_environment : "";
 }
 
-trove::result<Settings> load_settings(const std::string& path, MachineKind kind) {
-  using Step = trove::Error::Step;
+storage::result<Settings> load_settings(const std::string& path, MachineKind kind) {
+  using Step = storage::Error::Step;
   const std::string file = settings_path(path);
   if (file.empty()) {
     const std::string reason = fmt::format("{} names no file, and none is given\n", path_variable);
-    return boost::leaf::new_error(trove::Error{Step::read, document_name, reason});
+    return boost::leaf::new_error(storage::Error{Step::read, document_name, reason});
   }
   std::ifstream in(file, std::ios::binary);
   std::stringstream text;
   text << in.rdbuf();
-  if (!in) return boost::leaf::new_error(trove::Error{Step::open, file, "can't be read\n"});
+  if (!in) return boost::leaf::new_error(storage::Error{Step::open, file, "can't be read\n"});
   return parse_settings(text.str(), kind);
 }
 
@@ -276,4 +276,4 @@
   return changed;
 }
 
-}  // namespace robinpin::ground
+}  // namespace robinpin::bootstrap
--- a/src/ground/settings.h
+++ b/src/bootstrap/settings.h
@@ -7,9 +7,9 @@
 #include <string_view>
 #include <vector>
 
-#include "../trove/error.h"
+#include "../storage/error.h"
 
-namespace robinpin::ground {
+namespace robinpin::bootstrap {
 
 // What kind of machine a process runs on: it decides which settings are required.
 enum class MachineKind {
@@ -59,11 +59,11 @@
 
 // Reads the JSON text of a settings file; unknown keys are ignored. Errors: Step::parse, the text is no JSON,
 // so perhaps half written; Step::read, with one line "pointer: reason" for each fault.
-trove::result<Settings> parse_settings(std::string_view text, MachineKind kind);
+storage::result<Settings> parse_settings(std::string_view text, MachineKind kind);
 
 // Reads the file at settings_path(path). Errors: as above; Step::open, it cannot be read; Step::read, no file
 // is named.
-trove::result<Settings> load_settings(const std::string& path, MachineKind kind);
+storage::result<Settings> load_settings(const std::string& path, MachineKind kind);
 
 // `path`, or what the environment variable ROBINPIN_CONFIG names if that is empty.
 std::string settings_path(const std::string& path);
@@ -72,4 +72,4 @@
 // with `current` can apply `next`.
 std::vector<std::string> settings_needing_restart(const Settings& current, const Settings& next);
 
-}  // namespace robinpin::ground
+}  // namespace robinpin::bootstrap
--- a/src/creed/adjust.cpp
+++ b/src/configuration/configuration_change.cpp
@@ -1,4 +1,4 @@
-#include "adjust.h"
+#include "configuration_change.h"
 
 #include <rapidjson/document.h>
 #include <rapidjson/pointer.h>
@@ -11,7 +11,7 @@
 #include <map>
 #include <set>
 
-namespace robinpin::creed {
+namespace robinpin::configuration {
 
 namespace {
 
@@ -54,7 +54,7 @@
 
 class Reader {
  public:
-  explicit Reader(Change& change) : change_(change) {}
+  explicit Reader(ConfigurationChange& change) : change_(change) {}
 
   void read(std::string_view body) {
     constexpr unsigned flags = rapidjson::kParseIterativeFlag | rapidjson::kParseValidateEncodingFlag;
@@ -114,7 +114,7 @@
     return found;
   }
 
-  bool named(const Row& r, std::string_view mark, Item& item) {
+  bool named(const Row& r, std::string_view mark, VersionedItem& item) {
     const Value* label = r.get("label");
     if (!label || !label->IsString() || label->GetStringLength() == 0 || label->GetStringLength() > 256)
       return fault(r.pointer, "label: no name"), false;
@@ -124,7 +124,7 @@
     return true;
   }
 
-  void keep(const Row& r, Item item) {
+  void keep(const Row& r, VersionedItem item) {
     rapidjson::StringBuffer buffer;
     Out out(buffer);
     out.StartObject();
@@ -138,7 +138,7 @@
   }
 
   void target(const Row& r) {
-    Item item;
+    VersionedItem item;
     if (!named(r, target_mark, item)) return;
     if (const Value* w = r.get("warmup"); w && (!w->IsString() || span_of(text_of(*w)) < 0))
       fault(r.pointer, "warmup: no time");
@@ -159,7 +159,7 @@
   }
 
   void channel(const Row& r) {
-    Item item;
+    VersionedItem item;
     if (!named(r, channel_mark, item)) return;
     const Value* host = r.get("authority");
     if (!host || !host->IsString() || host->GetStringLength() == 0) fault(r.pointer, "authority: empty");
@@ -213,7 +213,7 @@
     for (const Value& v : list->GetArray()) {
       const std::string here = at + "/" + std::to_string(n++);
       const Value* label = v.IsObject() ? rapidjson::Pointer("/label").Get(v) : nullptr;
-      Item item;
+      VersionedItem item;
       item.dropped = true;
       if (!label || !label->IsString() || label->GetStringLength() == 0)
         fault(here, "label: no name");
@@ -232,7 +232,7 @@
     if (!s || s->IsNull()) return;
     const std::string at = "/apply/saturation";
     if (!s->IsObject()) return fault(at, "no object");
-    Item item;
+    VersionedItem item;
     item.name = saturation_name;
     if (!read_version(rapidjson::Pointer("/revision").Get(*s), item.version))
       fault(at, "revision: not eight hexadecimal digits");
@@ -251,12 +251,13 @@
     change_.items.push_back(std::move(item));
   }
 
-  Change& change_;
+  ConfigurationChange& change_;
   rapidjson::Document doc_;
   std::set<std::string, std::less<>> called_;  // services that the call itself brings
 };
 
-void list_of(Out& out, const Creed& stands, std::string_view mark, const std::vector<std::string>& order) {
+void list_of(Out& out, const ConfigurationStore& stands, std::string_view mark,
+             const std::vector<std::string>& order) {
   rapidjson::MemoryPoolAllocator<>
       pool;  // of all records: one of its own each takes a whole chunk for itself
   std::vector<rapidjson::Document> records;
@@ -323,16 +324,16 @@
   return text;
 }
 
-Change read_call(std::string_view body) {
-  Change change;
+ConfigurationChange read_call(std::string_view body) {
+  ConfigurationChange change;
   Reader(change).read(body);
   if (!change.faults.empty()) change.items.clear(), change.needs.clear();
   return change;
 }
 
-Change read_change(std::string_view body, const Creed& stands) {
-  Change change = read_call(body);
-  for (const Need& n : change.needs)
+ConfigurationChange read_change(std::string_view body, const ConfigurationStore& stands) {
+  ConfigurationChange change = read_call(body);
+  for (const ServiceReference& n : change.needs)
     if (!n.brought && !stands.stands(n.service))
       change.faults.push_back(
           {n.pointer, "target: nobody knows the service " + n.service.substr(target_mark.size())});
@@ -340,13 +341,13 @@
   return change;
 }
 
-std::string faults_as_json(const std::vector<Fault>& faults) {
+std::string faults_as_json(const std::vector<ValidationError>& faults) {
   rapidjson::StringBuffer buffer;
   Out out(buffer);
   out.StartObject();
   out.Key("fault");
   out.StartArray();
-  for (const Fault& f : faults) {
+  for (const ValidationError& f : faults) {
     out.StartObject();
     out.Key("pointer");
     out.String(f.pointer.data(), rapidjson::SizeType(f.pointer.size()));
@@ -359,7 +360,7 @@
   return buffer.GetString();
 }
 
-std::string written_out(const Creed& stands) {
+std::string written_out(const ConfigurationStore& stands) {
   rapidjson::StringBuffer buffer;
   Out out(buffer);
   out.StartObject();
@@ -370,7 +371,7 @@
   out.Key("targets");
   list_of(out, stands, target_mark,
           {"label", "probe", "conn_limit", "protocol", "tls", "warmup", "warmup_per_s", "revision"});
-  if (const Item* s = stands.find(saturation_name); s && !s->dropped) {
+  if (const VersionedItem* s = stands.find(saturation_name); s && !s->dropped) {
     rapidjson::Document d;
     d.Parse(s->text.data(), s->text.size());
     out.Key("saturation");
@@ -380,4 +381,4 @@
   return buffer.GetString();
 }
 
-}  // namespace robinpin::creed
+}  // namespace robinpin::configuration
--- a/src/creed/adjust.h
+++ b/src/configuration/configuration_change.h
@@ -6,36 +6,36 @@
 #include <string_view>
 #include <vector>
 
-#include "creed.h"
+#include "configuration_store.h"
 
-namespace robinpin::creed {
+namespace robinpin::configuration {
 
-struct Fault {
+struct ValidationError {
   std::string pointer, reason;  // RFC 6901; why
 };
 
-struct Need {  // a service that an item names
+struct ServiceReference {  // a service that an item names
   std::size_t item = 0;
   std::string service, pointer;
   bool brought = false;  // by the call itself
 };
 
-struct Change {
-  std::vector<Item> items;
-  std::vector<Need> needs;
-  std::vector<Fault> faults;  // all of them; with any, no item may take effect
+struct ConfigurationChange {
+  std::vector<VersionedItem> items;
+  std::vector<ServiceReference> needs;
+  std::vector<ValidationError> faults;  // all of them; with any, no item may take effect
 };
 
 // Read by itself: whether its services are known is for who holds the state.
-Change read_call(std::string_view body);
+ConfigurationChange read_call(std::string_view body);
 // The same, held against a copy of the state.
-Change read_change(std::string_view body, const Creed& stands);
-std::string faults_as_json(const std::vector<Fault>& faults);
+ConfigurationChange read_change(std::string_view body, const ConfigurationStore& stands);
+std::string faults_as_json(const std::vector<ValidationError>& faults);
 // All that stands, laid out as in a first call's `apply`.
-std::string written_out(const Creed& stands);
+std::string written_out(const ConfigurationStore& stands);
 
 // Microseconds of a text like "1500ms" or "2.5s"; below zero if it is none.
 long long span_of(std::string_view text);
 std::string version_text(std::uint64_t version);  // eight hexadecimal digits
 
-}  // namespace robinpin::creed
+}  // namespace robinpin::configuration
--- a/src/creed/creed.cpp
+++ b/src/configuration/configuration_store.cpp
@@ -1,8 +1,8 @@
-#include "creed.h"
+#include "configuration_store.h"
 
 #include <algorithm>
 
-namespace robinpin::creed {
+namespace robinpin::configuration {
 
 std::uint64_t hashed(std::string_view text, std::uint64_t seed) {
   std::uint64_t h = 14695981039346656037U ^ (seed * 0x9e3779b97f4a7c15U);
@@ -11,15 +11,15 @@
   return h * 0xbf58476d1ce4e5b9U ^ (h >> 32);
 }
 
-std::uint64_t print_of(const Item& item) {
+std::uint64_t print_of(const VersionedItem& item) {
   return hashed(item.text, hashed(item.name, item.at ^ ((item.version * 2 + (item.dropped ? 1 : 0)) << 20)));
 }
 
 namespace {
-std::size_t size_of(const Item& i) { return i.name.size() + i.text.size(); }
+std::size_t size_of(const VersionedItem& i) { return i.name.size() + i.text.size(); }
 }  // namespace
 
-bool Creed::take(const Item& item) {
+bool ConfigurationStore::take(const VersionedItem& item) {
   const auto it = items_.find(item.name);
   const auto part = part_of(item.name);
   if (it == items_.end()) {
@@ -40,7 +40,7 @@
   return true;
 }
 
-bool Creed::erase(std::string_view name) {
+bool ConfigurationStore::erase(std::string_view name) {
   const auto it = items_.find(name);
   if (it == items_.end()) return false;
   const auto part = part_of(name);
@@ -53,7 +53,7 @@
   return true;
 }
 
-std::vector<std::string> Creed::prune() {
+std::vector<std::string> ConfigurationStore::prune() {
   if (dropped_ <= most_dropped) return {};
   std::vector<std::uint64_t> at;
   for (const auto& [name, item] : items_)
@@ -63,7 +63,7 @@
   return let_go(*last);
 }
 
-std::vector<std::string> Creed::let_go(std::uint64_t floor) {
+std::vector<std::string> ConfigurationStore::let_go(std::uint64_t floor) {
   std::vector<std::string> gone;
   if (floor <= floor_) return gone;
   for (const auto& [name, item] : items_)
@@ -73,16 +73,16 @@
   return gone;
 }
 
-const Item* Creed::find(std::string_view name) const {
+const VersionedItem* ConfigurationStore::find(std::string_view name) const {
   const auto it = items_.find(name);
   return it == items_.end() ? nullptr : &it->second;
 }
 
-std::vector<Item> Creed::part(std::size_t number) const {
-  std::vector<Item> found;
+std::vector<VersionedItem> ConfigurationStore::part(std::size_t number) const {
+  std::vector<VersionedItem> found;
   for (const auto& [name, item] : items_)
     if (part_of(name) == number) found.push_back(item);
   return found;
 }
 
-}  // namespace robinpin::creed
+}  // namespace robinpin::configuration
--- a/src/creed/creed.h
+++ b/src/configuration/configuration_store.h
@@ -7,20 +7,20 @@
 #include <string>
 #include <vector>
 
-#include "item.h"
+#include "versioned_item.h"
 
-namespace robinpin::creed {
+namespace robinpin::configuration {
 
-class Creed {
+class ConfigurationStore {
  public:
-  using Items = std::map<std::string, Item, std::less<>>;
+  using Items = std::map<std::string, VersionedItem, std::less<>>;
   static constexpr std::size_t most_items = 20'000;      // that stand: an order beyond it is refused
   static constexpr std::size_t most_bytes = 24'000'000;  // of all names and texts, likewise
   static constexpr std::size_t most_dropped = 4'096;     // dropped names that are still known
   static constexpr std::size_t let_go_at_once = 512;     // of them
 
   // True if it was news and is held now.
-  bool take(const Item& item);
+  bool take(const VersionedItem& item);
   // Lets the oldest dropped names go where they are more than `most_dropped`; all copies of one number do it
   // alike. Their names.
   std::vector<std::string> prune();
@@ -30,13 +30,13 @@
   std::uint64_t floor() const { return floor_; }
   void floor(std::uint64_t number) { floor_ = number; }  // as read from a disk
   bool erase(std::string_view name);
-  const Item* find(std::string_view name) const;  // also a dropped one; null if never heard of
+  const VersionedItem* find(std::string_view name) const;  // also a dropped one; null if never heard of
   bool stands(std::string_view name) const {
-    const Item* i = find(name);
+    const VersionedItem* i = find(name);
     return i && !i->dropped;
   }
   const Digest& digest() const { return digest_; }
-  std::vector<Item> part(std::size_t number) const;
+  std::vector<VersionedItem> part(std::size_t number) const;
   std::size_t in_part(std::size_t number) const { return counts_[number]; }
   std::size_t dropped() const { return dropped_; }
   std::size_t standing() const { return items_.size() - dropped_; }
@@ -52,4 +52,4 @@
   std::uint64_t changes_ = 0, floor_ = 0;
 };
 
-}  // namespace robinpin::creed
+}  // namespace robinpin::configuration
--- a/src/creed/plan.cpp
+++ b/src/configuration/route_table.cpp
@@ -1,4 +1,4 @@
-#include "plan.h"
+#include "route_table.h"
 
 #include <rapidjson/document.h>
 #include <rapidjson/pointer.h>
@@ -6,9 +6,9 @@
 #include <algorithm>
 #include <cctype>
 
-#include "adjust.h"
+#include "configuration_change.h"
 
-namespace robinpin::creed {
+namespace robinpin::configuration {
 
 namespace {
 
@@ -38,8 +38,8 @@
   return text;
 }
 
-Channel channel_of(const Value& v) {
-  Channel c;
+Route channel_of(const Value& v) {
+  Route c;
   c.label = text_at(v, "/label");
   c.host = lowered(text_at(v, "/authority"));
   c.prefix = text_at(v, "/path_prefix");
@@ -54,20 +54,20 @@
       if (const double gain = number_at(s, "/gain", 0); gain > 0)
         c.shares.push_back({text_at(s, "/target"), gain});
   if (c.shares.empty()) c.shares.push_back({text_at(v, "/target"), 1});
-  for (const Share& s : c.shares) c.gains += s.gain;
+  for (const WeightedTarget& s : c.shares) c.gains += s.gain;
   return c;
 }
 
 }  // namespace
 
-const std::string& Channel::service(double part_of_one) const {
+const std::string& Route::service(double part_of_one) const {
   double left = part_of_one * gains;
-  for (const Share& s : shares)
+  for (const WeightedTarget& s : shares)
     if ((left -= s.gain) < 0) return s.service;
   return shares.back().service;
 }
 
-const Channel* Plan::find(std::string_view host, std::string_view target) const {
+const Route* RouteTable::find(std::string_view host, std::string_view target) const {
   const auto of_host = hosts.find(lowered(host));
   if (of_host == hosts.end()) return nullptr;
   std::string path(target.substr(0, target.find_first_of("?#")));
@@ -82,11 +82,11 @@
   return nullptr;
 }
 
-std::shared_ptr<const Plan> Planner::plan_of(const Creed& creed) {
-  auto plan = std::make_shared<Plan>();
+std::shared_ptr<const RouteTable> RouteTableBuilder::build(const ConfigurationStore& creed) {
+  auto plan = std::make_shared<RouteTable>();
   std::unordered_map<std::string, Known> channels;
   channels.reserve(channels_.size());
-  const auto read = [](const Item& item, rapidjson::Document& v) {
+  const auto read = [](const VersionedItem& item, rapidjson::Document& v) {
     return !v.Parse(item.text.data(), item.text.size()).HasParseError() && v.IsObject();
   };
   for (const auto& [name, item] : creed.items()) {
@@ -97,7 +97,7 @@
       if (auto before = channels_.extract(name); before && before.mapped().print == print) {
         known = std::move(before.mapped());
       } else if (rapidjson::Document v; read(item, v)) {
-        known.channel = std::make_shared<const Channel>(channel_of(v));
+        known.channel = std::make_shared<const Route>(channel_of(v));
       }
       if (known.channel) {
         // Of routes that share a place the newest is in force.
@@ -132,4 +132,4 @@
   return plan;
 }
 
-}  // namespace robinpin::creed
+}  // namespace robinpin::configuration
--- a/src/creed/plan.h
+++ b/src/configuration/route_table.h
@@ -10,24 +10,24 @@
 #include <unordered_map>
 #include <vector>
 
-#include "creed.h"
+#include "configuration_store.h"
 
-namespace robinpin::creed {
+namespace robinpin::configuration {
 
 enum class mode { idempotent, effectful, inflow };
 
-struct Share {
+struct WeightedTarget {
   std::string service;
   double gain = 0;
 };
 
-struct Channel {
+struct Route {
   std::string label, host, prefix;
   mode kind = mode::effectful;
   std::int64_t deadline = 0, aim = 0;  // microseconds
   int rank = 0, tries = 1;
-  std::vector<Share> shares;  // never empty
-  double gains = 0;           // their sum
+  std::vector<WeightedTarget> shares;  // never empty
+  double gains = 0;                    // their sum
   const std::string& service(double part_of_one) const;
 };
 
@@ -43,26 +43,26 @@
   std::int64_t header = 3'000'000, idle = 15'000'000;  // microseconds
 };
 
-struct Plan {
-  std::unordered_map<std::string, std::unordered_map<std::string, std::shared_ptr<const Channel>>>
+struct RouteTable {
+  std::unordered_map<std::string, std::unordered_map<std::string, std::shared_ptr<const Route>>>
       hosts;  // by host, by prefix
   std::map<std::string, Service, std::less<>> services;
   std::set<std::string, std::less<>> emptied;  // zones
   Bounds bounds;
-  const Channel* find(std::string_view host, std::string_view target) const;
+  const Route* find(std::string_view host, std::string_view target) const;
 };
 
 // Builds plans of one copy as it grows: of a change only what changed is read again.
-class Planner {
+class RouteTableBuilder {
  public:
-  std::shared_ptr<const Plan> plan_of(const Creed& creed);
+  std::shared_ptr<const RouteTable> build(const ConfigurationStore& creed);
 
  private:
   struct Known {
     std::uint64_t print = 0, version = 0;
-    std::shared_ptr<const Channel> channel;
+    std::shared_ptr<const Route> channel;
   };
   std::unordered_map<std::string, Known> channels_;  // by item; as many as stand
 };
 
-}  // namespace robinpin::creed
+}  // namespace robinpin::configuration
--- a/src/creed/item.h
+++ b/src/configuration/versioned_item.h
@@ -7,19 +7,19 @@
 #include <string_view>
 #include <vector>
 
-namespace robinpin::creed {
+namespace robinpin::configuration {
 
 // Names begin with what they are of.
 constexpr std::string_view channel_mark = "c/", target_mark = "t/", evacuation_mark = "e/",
                            saturation_name = "s";
 
-struct Item {
+struct VersionedItem {
   std::string name;
   std::uint64_t version = 0;
   bool dropped = false;  // a tombstone: kept for a while, so that an older version can't come back
   std::string text;      // JSON; empty where dropped
   std::uint64_t at = 0;  // the number of the settled change that set it; 0: of a call, not settled
-  bool operator==(const Item&) const = default;
+  bool operator==(const VersionedItem&) const = default;
   template <typename Archive>
   void serialize(Archive& a) {
     a(name, version, dropped, text, at);
@@ -28,9 +28,11 @@
 
 // Whether `a` takes `b`'s place. One number holds one wording of an item, and a later number never a lower
 // version, but of a name that was let go of.
-inline bool newer(const Item& a, const Item& b) { return a.at != b.at ? a.at > b.at : a.version > b.version; }
+inline bool newer(const VersionedItem& a, const VersionedItem& b) {
+  return a.at != b.at ? a.at > b.at : a.version > b.version;
+}
 // Whether two say the same of one name, whenever each was settled.
-inline bool same_wording(const Item& a, const Item& b) {
+inline bool same_wording(const VersionedItem& a, const VersionedItem& b) {
   return a.name == b.name && a.version == b.version && a.dropped == b.dropped && a.text == b.text;
 }
 
@@ -41,6 +43,6 @@
 std::uint64_t hashed(std::string_view text, std::uint64_t seed = 0);
 inline std::size_t part_of(std::uint64_t hash_of_name) { return std::size_t(hash_of_name >> 7) % parts; }
 inline std::size_t part_of(std::string_view name) { return part_of(hashed(name)); }
-std::uint64_t print_of(const Item& item);
+std::uint64_t print_of(const VersionedItem& item);
 
-}  // namespace robinpin::creed
+}  // namespace robinpin::configuration
--- a/src/locus/wire.h
+++ b/src/control_plane/messages.h
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "../consensus/register.h"
-#include "../rumour/rumour.h"
+#include "../gossip/gossip.h"
 
 namespace robinpin::consensus {
 
@@ -55,10 +55,10 @@
 
 }  // namespace robinpin::consensus
 
-namespace robinpin::locus {
+namespace robinpin::control_plane {
 
-using rumour::Machine;
-using rumour::Outbox;
+using gossip::Machine;
+using gossip::Outbox;
 
 enum class kind : std::uint8_t { ask = 16, answer, beat, fetch, fetched, part };
 inline bool among_cores(std::string_view datagram) {
@@ -67,19 +67,19 @@
 
 // Which number its sender holds as settled, and which attempt brought that: who has accepted just that one
 // holds it, too.
-struct Stands {
+struct CommittedPosition {
   std::uint64_t number = 0;
   std::string by;
   template <typename A>
   void serialize(A& a) {
     a(number, by);
   }
-  friend bool operator==(const Stands&, const Stands&) = default;
+  friend bool operator==(const CommittedPosition&, const CommittedPosition&) = default;
 };
 
-struct Asking {
+struct ConsensusRequest {
   consensus::Ask ask;
-  Stands holds;
+  CommittedPosition holds;
   bool knows_text = false;  // of what it holds: an answer need not bring it again
   std::string store;        // its sender's, and how far that is
   std::uint64_t counter = 0;
@@ -89,17 +89,17 @@
   }
 };
 
-struct Answering {
+struct ConsensusReply {
   consensus::Reply reply;  // its counter is its sender's
-  Stands holds;
+  CommittedPosition holds;
   template <typename A>
   void serialize(A& a) {
     a(reply, holds);
   }
 };
 
-struct Beat {
-  std::uint64_t life = 0,
+struct PeerHeartbeat {
+  std::uint64_t incarnation = 0,
                 sequence = 0;  // of its sender's process, drawn; grows with each: a late one can be known
   std::uint64_t echo = 0;      // of the beat that this answers; 0: plain news
   bool answer = false;
@@ -107,7 +107,7 @@
   std::uint64_t counter = 0;
   std::string yours;  // whose counter `seen` is
   std::uint64_t seen = 0;
-  Stands holds;
+  CommittedPosition holds;
   std::uint64_t accepted = 0;  // the number in its own register, perhaps not settled
   consensus::Voters voters;
   bool votes = false;    // its disk is known to be the latest of its store
@@ -117,7 +117,7 @@
       ages;  // of each voter's store, milliseconds since it was heard
   template <typename A>
   void serialize(A& a) {
-    a(life, sequence, echo, answer, store, counter, yours, seen, holds, accepted, voters, votes, ready,
+    a(incarnation, sequence, echo, answer, store, counter, yours, seen, holds, accepted, voters, votes, ready,
       leaving, ages);
   }
 };
@@ -132,7 +132,7 @@
   friend auto operator<=>(const Cursor&, const Cursor&) = default;
 };
 
-struct Fetch {
+struct CatchUpRequest {
   std::uint64_t id = 0;  // of this catching up: drawn, never used twice
   Cursor after;
   template <typename A>
@@ -141,20 +141,20 @@
   }
 };
 
-struct Fetched {
+struct CatchUpResponse {
   std::uint64_t id = 0;
-  Stands holds;             // as its sender held when it wrote this
+  CommittedPosition holds;  // as its sender held when it wrote this
   std::uint64_t floor = 0;  // of its dropped names
   Cursor after, upto;
   bool last = false, burst_ends = false;
-  std::vector<creed::Item> items;
+  std::vector<configuration::VersionedItem> items;
   template <typename A>
   void serialize(A& a) {
     a(id, holds, floor, after, upto, last, burst_ends, items);
   }
 };
 
-struct Part {
+struct MessageFragment {
   std::uint64_t id = 0;  // of the whole message: its hash
   std::uint32_t size = 0, from = 0;
   std::string bytes;
@@ -166,14 +166,14 @@
 
 template <typename T>
 std::string written(kind k, const T& said) {
-  return rumour::written(rumour::kind(std::uint8_t(k)), said);
+  return gossip::written(gossip::kind(std::uint8_t(k)), said);
 }
 
 template <typename T>
 std::optional<T> read_whole(std::string_view message) {
   if (message.size() < 2) return std::nullopt;
   try {
-    rumour::Reading archive(message.substr(1));
+    gossip::Reading archive(message.substr(1));
     T said;
     archive(said);
     return said;
@@ -183,7 +183,7 @@
 }
 
 // Messages longer than a datagram. What is lost of one is made good when it is sent again: parts add up.
-class Parcels {
+class FragmentAssembler {
  public:
   static constexpr std::size_t part_bytes = 12'000, longest = 6'500'000, most = 24,
                                most_bytes = 24'000'000;  // being put together; the oldest goes
@@ -191,8 +191,8 @@
   static void send(Machine to, std::string message, Outbox& out) {
     if (message.size() <= part_bytes) return out.push_back({to, std::move(message)});
     if (message.size() > longest) return;
-    Part p;
-    p.id = creed::hashed(message);
+    MessageFragment p;
+    p.id = configuration::hashed(message);
     p.size = std::uint32_t(message.size());
     for (std::size_t at = 0; at < message.size(); at += part_bytes) {
       p.from = std::uint32_t(at);
@@ -201,8 +201,8 @@
     }
   }
   // The whole message, once its last part is there.
-  std::optional<std::string> heard(Machine from, std::string_view datagram) {
-    const auto p = read_whole<Part>(datagram);
+  std::optional<std::string> on_datagram(Machine from, std::string_view datagram) {
+    const auto p = read_whole<MessageFragment>(datagram);
     if (!p || p->size > longest || p->from % part_bytes != 0 || p->from >= p->size ||
         p->bytes.size() != std::min<std::size_t>(part_bytes, p->size - p->from))
       return std::nullopt;
@@ -220,7 +220,7 @@
     if (o.there.size() * part_bytes < p->size) return std::nullopt;
     std::string whole = std::move(o.bytes);
     close(key);
-    if (creed::hashed(whole) != p->id) return std::nullopt;
+    if (configuration::hashed(whole) != p->id) return std::nullopt;
     return whole;
   }
 
@@ -240,4 +240,4 @@
   std::size_t held_ = 0;  // bytes
 };
 
-}  // namespace robinpin::locus
+}  // namespace robinpin::control_plane
--- a/src/locus/disk.cpp
+++ b/src/control_plane/persistence.cpp
@@ -1,4 +1,4 @@
-#include "disk.h"
+#include "persistence.h"
 
 #include <boost/leaf/error.hpp>
 #include <sstream>
@@ -10,7 +10,7 @@
 }
 }  // namespace robinpin::consensus
 
-namespace robinpin::locus {
+namespace robinpin::control_plane {
 
 namespace {
 
@@ -25,7 +25,7 @@
 template <typename T>
 bool read_text(std::string_view text, T& x) {
   try {
-    rumour::Reading archive(text);
+    gossip::Reading archive(text);
     archive(x);
     return true;
   } catch (const std::exception&) {
@@ -35,14 +35,14 @@
 
 }  // namespace
 
-trove::result<Kept> kept(const std::vector<trove::KeyValueStore::Entry>& held) {
-  Kept k;
+storage::result<StoreContents> kept(const std::vector<storage::KeyValueStore::Entry>& held) {
+  StoreContents k;
   const auto damaged = [](const std::string& name) {
-    return boost::leaf::new_error(trove::Error{trove::Error::Step::corruption, name, "can't be read"});
+    return boost::leaf::new_error(storage::Error{storage::Error::Step::corruption, name, "can't be read"});
   };
   for (const auto& [name, text] : held) {
     if (name == own_name) {
-      Own own;
+      StoreHeader own;
       if (!read_text(text, own) || own.written_as != form) return damaged(name);
       k.own = std::move(own);
     } else if (name.starts_with(item_mark)) {
@@ -57,25 +57,25 @@
   return k;
 }
 
-std::string packed(const std::vector<creed::Item>& items) { return text_of(items); }
+std::string packed(const std::vector<configuration::VersionedItem>& items) { return text_of(items); }
 
-std::optional<std::vector<creed::Item>> unpacked(std::string_view text) {
-  std::vector<creed::Item> items;
+std::optional<std::vector<configuration::VersionedItem>> unpacked(std::string_view text) {
+  std::vector<configuration::VersionedItem> items;
   if (!read_text(text, items)) return std::nullopt;
   return items;
 }
 
-void put(trove::KeyValueStore::WriteBatch& batch, const Own& own) {
+void put(storage::KeyValueStore::WriteBatch& batch, const StoreHeader& own) {
   batch.puts.emplace_back(own_name, text_of(own));
 }
-void put(trove::KeyValueStore::WriteBatch& batch, const std::string& name, const consensus::Slot& slot) {
+void put(storage::KeyValueStore::WriteBatch& batch, const std::string& name, const consensus::Slot& slot) {
   batch.puts.emplace_back(std::string(slot_mark) + name, text_of(slot));
 }
-void put(trove::KeyValueStore::WriteBatch& batch, const creed::Item& item) {
+void put(storage::KeyValueStore::WriteBatch& batch, const configuration::VersionedItem& item) {
   batch.puts.emplace_back(std::string(item_mark) + item.name, text_of(item));
 }
-void drop(trove::KeyValueStore::WriteBatch& batch, const std::string& item) {
+void drop(storage::KeyValueStore::WriteBatch& batch, const std::string& item) {
   batch.removals.push_back(std::string(item_mark) + item);
 }
 
-}  // namespace robinpin::locus
+}  // namespace robinpin::control_plane
--- a/src/locus/keep.h
+++ b/src/control_plane/replicated_state.h
@@ -15,17 +15,17 @@
 #include <string>
 #include <vector>
 
+#include "../configuration/configuration_store.h"
 #include "../consensus/proposal.h"
 #include "../consensus/voter.h"
-#include "../creed/creed.h"
-#include "../rumour/rumour.h"
-#include "../trove/key_value_store.h"
-#include "disk.h"
-#include "judge.h"
-#include "seats.h"
-#include "wire.h"
+#include "../gossip/gossip.h"
+#include "../storage/key_value_store.h"
+#include "messages.h"
+#include "persistence.h"
+#include "request_validation.h"
+#include "voter_membership.h"
 
-namespace robinpin::locus {
+namespace robinpin::control_plane {
 
 struct Spans {  // microseconds
   std::int64_t contact =
@@ -33,7 +33,7 @@
                   // loss, which may come `settle` after its successor's start, it has to be done
 };
 
-class Keep {
+class ReplicatedState {
  public:
   static constexpr std::int64_t patience =
       850'000;  // microseconds: callers go elsewhere after a second of silence
@@ -44,20 +44,20 @@
       500'000;  // between beats; a fifth of it while something is amiss
   static constexpr std::int64_t doubtful_for =
       200'000;  // an accepted change that nobody has settled by then is settled
-  static constexpr std::size_t most_orders = 64, most_peers = 16, most_lives = 8;
+  static constexpr std::size_t most_orders = 64, most_peers = 16, most_incarnations = 8;
 
-  using Done = std::function<void(Outcome)>;
+  using Done = std::function<void(RequestOutcome)>;
 
-  Keep(Machine self, creed::Creed& creed, rumour::Rumour& rumour, trove::KeyValueStore& trove,
-       std::uint64_t chance, Spans spans = {});
+  ReplicatedState(Machine self, configuration::ConfigurationStore& creed, gossip::Gossip& rumour,
+                  storage::KeyValueStore& trove, std::uint64_t chance, Spans spans = {});
 
   // What the disk holds is taken on. An empty one is a founder's at the system's first start, else it has to
   // be taken in by the others. Errors: the disk can't be read, or written.
-  trove::result<void> begin(std::int64_t now, bool first_start, const std::vector<Machine>& seeds);
+  storage::result<void> begin(std::int64_t now, bool first_start, const std::vector<Machine>& seeds);
   // Other machines to ask, where those it knows of don't answer.
   void seeds(const std::vector<Machine>& told) { seeds_ = told; }
-  void order(std::int64_t now, Order order, Done done, Outbox& out);
-  void heard(std::int64_t now, Machine from, std::string_view datagram, Outbox& out);
+  void order(std::int64_t now, OperatorRequest order, Done done, Outbox& out);
+  void on_datagram(std::int64_t now, Machine from, std::string_view datagram, Outbox& out);
   // Every 100 ms or so, and when wake() says.
   void tick(std::int64_t now, Outbox& out);
   std::int64_t wake() const;
@@ -70,13 +70,13 @@
   const consensus::Voters& voters() const { return voter_->memory().voters; }
   bool votes() const { return voter_->standing() == consensus::verdict::yes && voters().seat(store()); }
   const std::string& store() const { return voter_->memory().store; }
-  std::uint64_t number() const { return holds_.number; }
-  std::size_t orders() const { return orders_.size(); }
+  std::uint64_t number() const { return committed_.number; }
+  std::size_t orders() const { return requests_.size(); }
   // The disk has failed: nothing may be acknowledged any more.
-  const std::optional<trove::Error>& failed() const { return failed_; }
+  const std::optional<storage::Error>& failed() const { return failed_; }
 
   struct Peer {  // another core machine, as its last word and its last answer told
-    Beat told;
+    PeerHeartbeat told;
     std::deque<std::uint64_t> lives;  // earlier ones, the last few: their words come late
     std::int64_t heard = 0;
     std::int64_t contact = -1;  // when the beat was sent that it answered last
@@ -86,12 +86,12 @@
   const std::map<Machine, Peer>& peers() const { return peers_; }
 
  private:
-  struct Waiting {
-    Call call;
+  struct PendingRequest {
+    ValidatedCall call;
     Done done;
     std::int64_t until;
     bool tried = false;  // judged by the attempt under way
-    Outcome verdict;
+    RequestOutcome verdict;
   };
   struct Attempt {  // one proposal on its way
     consensus::Proposal proposal;
@@ -104,12 +104,12 @@
     bool refused = false;  // by one: a ballot or a list too low
     bool answers(const consensus::Ballot& b) const { return b == ballot; }
   };
-  struct Chase {  // catching up
+  struct CatchUp {  // catching up
     std::uint64_t id = 0;
     Machine from = 0;
     Cursor after;
     bool snapshot = false;  // taken whole, in place of what is held
-    std::vector<creed::Item>
+    std::vector<configuration::VersionedItem>
         items;                // put in at once when the last is there: the state is always one number's
     std::uint64_t floor = 0;  // of the other
     std::uint64_t least = 0;  // a number that it must have reached
@@ -117,34 +117,34 @@
   };
 
   void expire(std::int64_t now);
-  void answer(std::deque<Waiting>::iterator at, Outcome outcome);
+  void answer(std::deque<PendingRequest>::iterator at, RequestOutcome outcome);
   void work(std::int64_t now, Outbox& out);
   void propose(std::int64_t now, Outbox& out);
   consensus::Ballot ballot();
   void take_step(std::int64_t now, std::optional<Attempt>& attempt, consensus::Step step, Outbox& out);
   void ended(std::int64_t now, const consensus::Outcome& o, bool wrote, std::uint64_t base, Outbox& out);
   void settled(std::int64_t now, const consensus::Value& value, Outbox& out);
-  void seats_ended(std::int64_t now, const consensus::Outcome& o, Outbox& out);
-  void mind_seats(std::int64_t now, Outbox& out);
+  void on_voter_change_ended(std::int64_t now, const consensus::Outcome& o, Outbox& out);
+  void maintain_voters(std::int64_t now, Outbox& out);
   void next_job(std::int64_t now, Outbox& out);
 
-  void heard_ask(std::int64_t now, Machine from, const Asking& a, Outbox& out);
-  void heard_answer(std::int64_t now, Machine from, Answering a, Outbox& out);
-  void heard_beat(std::int64_t now, Machine from, Beat b, Outbox& out);
-  void heard_fetch(Machine from, const Fetch& f, Outbox& out) const;
-  void heard_fetched(std::int64_t now, Machine from, const Fetched& f, Outbox& out);
+  void on_consensus_request(std::int64_t now, Machine from, const ConsensusRequest& a, Outbox& out);
+  void on_consensus_reply(std::int64_t now, Machine from, ConsensusReply a, Outbox& out);
+  void on_heartbeat(std::int64_t now, Machine from, PeerHeartbeat b, Outbox& out);
+  void on_catch_up_request(Machine from, const CatchUpRequest& f, Outbox& out) const;
+  void on_catch_up_response(std::int64_t now, Machine from, const CatchUpResponse& f, Outbox& out);
 
   // Another core holds this as settled.
-  void learn(std::int64_t now, const Stands& other, Outbox& out);
+  void learn(std::int64_t now, const CommittedPosition& other, Outbox& out);
   bool apply(const consensus::Value& settled, Outbox& out);
-  void chase(std::int64_t now, Outbox& out);
-  void restart_chase(bool snapshot);
-  void caught_up(const Stands& holds, std::uint64_t floor, Outbox& out);
+  void continue_catch_up(std::int64_t now, Outbox& out);
+  void restart_catch_up(bool snapshot);
+  void caught_up(const CommittedPosition& holds, std::uint64_t floor, Outbox& out);
   void beat(std::int64_t now, Outbox& out, bool news);  // news: not to be answered
-  Beat own_beat(std::int64_t now, Machine to);
-  Own own() const;
-  bool put(trove::KeyValueStore::WriteBatch batch, trove::KeyValueStore::Durability how);
-  bool put(const consensus::Change& change, trove::KeyValueStore::Durability how);
+  PeerHeartbeat own_beat(std::int64_t now, Machine to);
+  StoreHeader own() const;
+  bool put(storage::KeyValueStore::WriteBatch batch, storage::KeyValueStore::Durability how);
+  bool put(const consensus::Change& change, storage::KeyValueStore::Durability how);
   void told(std::int64_t now, const consensus::Voters& voters);
   void saw(const std::string& store, std::uint64_t counter);
   void cores_changed(std::int64_t now);
@@ -158,37 +158,38 @@
   std::size_t wanted_size() const;
 
   const Machine self_;
-  creed::Creed& creed_;
-  rumour::Rumour& rumour_;
-  trove::KeyValueStore& trove_;
+  configuration::ConfigurationStore& configuration_;
+  gossip::Gossip& gossip_;
+  storage::KeyValueStore& storage_;
   const Spans spans_;
   std::mt19937_64 chance_;
-  const std::uint64_t life_;    // drawn
-  const std::string proposer_;  // this life's
+  const std::uint64_t incarnation_;  // drawn
+  const std::string proposer_;       // this incarnation's
   std::vector<Machine> seeds_;
   std::optional<consensus::Voter> voter_;
-  Stands holds_;
-  consensus::Value last_;    // what brought `holds_`, where it is known
-  std::uint64_t known_ = 0;  // the highest number heard of as settled
+  CommittedPosition committed_;
+  consensus::Value last_;            // what brought `committed_`, where it is known
+  std::uint64_t highest_known_ = 0;  // the highest number heard of as settled
   std::uint64_t round_ = 0, tries_ = 0, attempts_ = 0, said_beats_ = 0;
-  std::deque<Waiting> orders_;
+  std::deque<PendingRequest> requests_;
   std::optional<Attempt> attempt_, seats_;
   std::optional<consensus::Succession> succession_;
   consensus::Want job_;  // of it, the one under way
   std::int64_t succession_until_ = 0, next_seats_ = 0, changing_since_ = 0;
   std::int64_t listed_ = 0;  // when the present list was learnt
-  std::optional<Chase> chase_;
+  std::optional<CatchUp> catch_up_;
   std::int64_t not_before_ = 0;      // the next try
   std::int64_t doubtful_since_ = 0;  // 0: nothing accepted waits to be settled
   std::map<Machine, Peer> peers_;
-  std::map<std::string, std::int64_t> heard_;  // voters' stores, when; or since when they have their seat
+  std::map<std::string, std::int64_t>
+      last_heard_;  // voters' stores, when; or since when they have their seat
   std::deque<std::pair<std::uint64_t, std::int64_t>> beats_;  // echo, when sent; a few
   std::int64_t begun_ = 0, next_beat_ = 0;
   std::deque<std::pair<std::string, std::string>>
       said_;  // asks that were answered lately, and the answers: one comes again
-  Parcels parcels_;
+  FragmentAssembler fragments_;
   bool leaving_ = false, can_hand_over_ = false;
-  std::optional<trove::Error> failed_;
+  std::optional<storage::Error> failed_;
 };
 
-}  // namespace robinpin::locus
+}  // namespace robinpin::control_plane
--- a/src/locus/seats.h
+++ b/src/control_plane/voter_membership.h
@@ -11,7 +11,7 @@
 
 #include "../consensus/register.h"
 
-namespace robinpin::locus {
+namespace robinpin::control_plane {
 
 struct Standby {  // a core machine that holds the state and has no seat
   consensus::Seat seat;
@@ -61,4 +61,4 @@
   return seats;
 }
 
-}  // namespace robinpin::locus
+}  // namespace robinpin::control_plane
--- a/src/chronicle/event_log.h
+++ b/src/event_log/event_log.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <utility>
 
-namespace robinpin::chronicle {
+namespace robinpin::event_log {
 
 // The numbers stand in operators' alerts: one that is removed is never used again.
 enum class EventType : int {
@@ -81,4 +81,4 @@
   EventCounts counts_;
 };
 
-}  // namespace robinpin::chronicle
+}  // namespace robinpin::event_log
--- a/src/rumour/rumour.cpp
+++ b/src/gossip/gossip.cpp
@@ -1,10 +1,10 @@
-#include "rumour.h"
+#include "gossip.h"
 
 #include <algorithm>
 #include <bit>
 #include <unordered_map>
 
-namespace robinpin::rumour {
+namespace robinpin::gossip {
 
 namespace {
 constexpr std::int64_t eager = 100'000,
@@ -26,38 +26,42 @@
 }
 }  // namespace
 
-Rumour::Rumour(Self self, std::uint64_t life, std::vector<Machine> seeds, creed::Creed& creed,
-               std::uint32_t chance)
-    : self_(std::move(self)), seeds_(std::move(seeds)), creed_(creed), chance_(chance), next_core_(chance) {
+Gossip::Gossip(Self self, std::uint64_t incarnation, std::vector<Machine> seeds,
+               configuration::ConfigurationStore& creed, std::uint32_t chance)
+    : self_(std::move(self)),
+      seeds_(std::move(seeds)),
+      configuration_(creed),
+      chance_(chance),
+      next_core_(chance) {
   own_.machine = self_.machine;
-  own_.life = life;
+  own_.incarnation = incarnation;
   own_.zone = self_.zone;
   own_.core = self_.core;
   cores_ = seeds_;
 }
 
-void Rumour::state(std::int64_t now, Record own, Outbox& out) {
-  own.machine = own_.machine, own.life = own_.life, own.zone = own_.zone, own.core = own_.core;
-  own.word = own_.word, own.lapsed = false;
+void Gossip::state(std::int64_t now, MemberRecord own, Outbox& out) {
+  own.machine = own_.machine, own.incarnation = own_.incarnation, own.zone = own_.zone, own.core = own_.core;
+  own.sequence = own_.sequence, own.expired = false;
   // How much longer it is cold is said when that begins and ends, not at each beat.
   const std::uint32_t cold = own.cold_ms;
   if (own.cold_ms > 0 && own_.cold_ms > 0 && own.cold_ms <= own_.cold_ms) own.cold_ms = own_.cold_ms;
-  if (own_.word > 0 && own == own_) return;
+  if (own_.sequence > 0 && own == own_) return;
   own.cold_ms = cold;
-  ++own.word;
+  ++own.sequence;
   own_ = own;
   take(own_, now);
   pass_on({{}, {own_}, 0}, 0, out);
 }
 
-void Rumour::spread(const std::vector<creed::Item>& items, Outbox& out) {
+void Gossip::spread(const std::vector<configuration::VersionedItem>& items, Outbox& out) {
   for (auto& piece : pieces_of(items)) pass_on({std::move(piece), {}, 0}, 0, out);
 }
 
 // Those of the own zone first, one across.
-std::vector<Machine> Rumour::some(std::size_t most, Machine but) {
+std::vector<Machine> Gossip::some(std::size_t most, Machine but) {
   std::vector<Machine> near = near_.draw(most, but, chance_), far = far_.draw(most, but, chance_);
-  if (roll_.entries().size() <= 1) {
+  if (members_.entries().size() <= 1) {
     for (const Machine m : seeds_)
       if (m != self_.machine) far.push_back(m);
     std::shuffle(far.begin(), far.end(), chance_);
@@ -68,47 +72,47 @@
   return near;
 }
 
-bool Rumour::take(const Record& r, std::int64_t now) {
-  if (!roll_.take(r, now)) return false;
-  const bool told = r.machine != self_.machine && !r.lapsed && !r.leaving;
+bool Gossip::take(const MemberRecord& r, std::int64_t now) {
+  if (!members_.take(r, now)) return false;
+  const bool told = r.machine != self_.machine && !r.expired && !r.leaving;
   near_.put(r.machine, told && r.zone == self_.zone);
   far_.put(r.machine, told && r.zone != self_.zone);
   return true;
 }
 
-void Rumour::pass_on(News news, Machine but, Outbox& out) {
-  news.floor = creed_.floor();
+void Gossip::pass_on(UpdateMessage news, Machine but, Outbox& out) {
+  news.floor = configuration_.floor();
   const std::string bytes = written(kind::news, news);
   for (const Machine m : some(told_to, but)) out.push_back({m, bytes});
 }
 
-Told Rumour::told(bool answer) const {
-  Told t;
+DigestMessage Gossip::told(bool answer) const {
+  DigestMessage t;
   t.answer = answer;
   t.whole = self_.core ? whole_ : caught_up_;
-  t.items = creed_.digest();
-  t.records = roll_.digest();
+  t.items = configuration_.digest();
+  t.records = members_.digest();
   t.cores = cores_;
   t.core = self_.core;
-  t.floor = creed_.floor();
+  t.floor = configuration_.floor();
   t.epoch = epoch_;
   return t;
 }
 
-void Rumour::send_digest(Machine to, bool answer, Outbox& out) const {
+void Gossip::send_digest(Machine to, bool answer, Outbox& out) const {
   out.push_back({to, written(kind::digest, told(answer))});
 }
 
 // To the other cores, and what was heard since it was last told; the first piece is a digest like any, the
 // others carry no more.
-void Rumour::send_leases(std::int64_t now, Outbox& out) {
-  std::vector<Lease> due;
+void Gossip::send_leases(std::int64_t now, Outbox& out) {
+  std::vector<MemberLease> due;
   for (auto& [m, r] : leases_)
     if (r.tell > 0) {
       --r.tell;
       due.push_back({m, std::uint16_t(std::clamp<std::int64_t>((now - r.at) / 1000, 0, 65'535))});
     }
-  Told t = told(false);
+  DigestMessage t = told(false);
   for (auto at = due.begin(); !t.answer || at != due.end(); t.answer = true) {
     const auto end = std::size_t(due.end() - at) > leases_at_once ? at + leases_at_once : due.end();
     t.leases.assign(at, end);
@@ -121,8 +125,8 @@
 
 // What another core told counts as news to be told on only of a machine that this core does not hear: the
 // link between two others may be cut.
-void Rumour::renew(std::int64_t now, Machine m, std::int64_t at, bool first_hand) {
-  if (!roll_.find(m)) return;
+void Gossip::renew(std::int64_t now, Machine m, std::int64_t at, bool first_hand) {
+  if (!members_.find(m)) return;
   Renewal& r = leases_[m];
   const std::int64_t unheard = std::int64_t(cores_.size() + 2) * round;
   if (first_hand || (now - r.own > unheard && at > r.at + round / 2)) r.tell = lease_told;
@@ -130,20 +134,20 @@
   r.at = std::max(r.at, at);
 }
 
-void Rumour::cores(std::vector<Machine> known, std::uint64_t epoch) {
+void Gossip::cores(std::vector<Machine> known, std::uint64_t epoch) {
   cores_ = std::move(known);
   epoch_ = epoch;
-  std::erase_if(cores_heard_, [&](const auto& heard) { return !among(cores_, heard.first); });
+  std::erase_if(core_last_heard_, [&](const auto& heard) { return !among(cores_, heard.first); });
 }
 
 // A digest of who says that it lacks something is always answered, and by a core with who is core.
-void Rumour::ask(Machine to, Outbox& out) const {
-  Told t = told(false);
+void Gossip::ask(Machine to, Outbox& out) const {
+  DigestMessage t = told(false);
   t.whole = false;
   out.push_back({to, written(kind::digest, t)});
 }
 
-void Rumour::seeds(std::int64_t now, std::vector<Machine> told, Outbox& out) {
+void Gossip::seeds(std::int64_t now, std::vector<Machine> told, Outbox& out) {
   std::erase_if(unmet_, [&](Machine m) { return !among(told, m); });
   for (const Machine m : told)
     if (m != self_.machine && !among(seeds_, m) && !among(cores_, m)) unmet_.push_back(m);
@@ -153,30 +157,31 @@
   for (const Machine m : unmet_) ask(m, out);
 }
 
-void Rumour::floor_told(std::uint64_t floor) {
-  if (!self_.core) floor_told_ = std::max(floor_told_, floor);
+void Gossip::observe_floor(std::uint64_t floor) {
+  if (!self_.core) highest_floor_ = std::max(highest_floor_, floor);
 }
 
 // Once a floor has been told of, an item at or below it may have been dropped and let go of, unless whoever
 // holds it has let go up to there, too: it then stood there. Without this what a listing has taken from one
 // that was away for long would come back from another, as long as its own floor is lower.
-bool Rumour::may_stand(std::uint64_t at, std::uint64_t holders_floor) const {
-  return at == 0 || at > floor_told_ || holders_floor >= floor_told_;
+bool Gossip::may_exist(std::uint64_t at, std::uint64_t holders_floor) const {
+  return at == 0 || at > highest_floor_ || holders_floor >= highest_floor_;
 }
 
-creed::Digest Rumour::digest_without_dropped(std::uint64_t floor) const {
-  creed::Digest d = creed_.digest();
-  if (creed_.dropped() == 0) return d;
-  for (const auto& [name, item] : creed_.items())
-    if (item.dropped && item.at <= floor) d[creed::part_of(name)] ^= creed::print_of(item);
+configuration::Digest Gossip::digest_without_dropped(std::uint64_t floor) const {
+  configuration::Digest d = configuration_.digest();
+  if (configuration_.dropped() == 0) return d;
+  for (const auto& [name, item] : configuration_.items())
+    if (item.dropped && item.at <= floor) d[configuration::part_of(name)] ^= configuration::print_of(item);
   return d;
 }
 
 // Items of at most so many bytes altogether, and one at the least. Where they are more the first is drawn:
 // several senders then fill different gaps, and what was lost is not lost each time.
-std::vector<creed::Item> Rumour::portion(std::vector<creed::Item> items, std::size_t most_bytes) {
+std::vector<configuration::VersionedItem> Gossip::portion(std::vector<configuration::VersionedItem> items,
+                                                          std::size_t most_bytes) {
   std::size_t bytes = 0;
-  for (const creed::Item& i : items) bytes += size_of(i);
+  for (const configuration::VersionedItem& i : items) bytes += size_of(i);
   if (bytes <= most_bytes) return items;
   const auto first = std::uniform_int_distribution<std::size_t>(0, items.size() - 1)(chance_);
   std::rotate(items.begin(), items.begin() + std::ptrdiff_t(first), items.end());
@@ -188,12 +193,12 @@
   return items;
 }
 
-void Rumour::hurry(std::int64_t now) { eager_ = 0, next_ = std::min(next_, now + eager); }
+void Gossip::hurry(std::int64_t now) { eager_ = 0, next_ = std::min(next_, now + eager); }
 
-void Rumour::send_items(Machine to, std::vector<creed::Item> items, Outbox& out) const {
+void Gossip::send_items(Machine to, std::vector<configuration::VersionedItem> items, Outbox& out) const {
   if (items.empty()) return;
   for (auto& piece : pieces_of(std::move(items)))
-    out.push_back({to, written(kind::news, News{std::move(piece), {}, creed_.floor()})});
+    out.push_back({to, written(kind::news, UpdateMessage{std::move(piece), {}, configuration_.floor()})});
 }
 
 // Of what differs a few items are sent as they are; of many, and of records, a listing says first how new
@@ -201,25 +206,25 @@
 // of them among members. To a core it is said all the same: changes that never pause would hide a gap for
 // ever. Of two floors it is the lower one's node that lists, as it alone can tell what differs by old
 // tombstones only; the other's answer has told it how high. Between cores nothing is said of items.
-void Rumour::send_gaps(std::int64_t now, Machine to, const Told& theirs, Outbox& out) {
-  Scope of;
-  const bool lower = creed_.floor() < theirs.floor, level = creed_.floor() == theirs.floor;
+void Gossip::send_differences(std::int64_t now, Machine to, const DigestMessage& theirs, Outbox& out) {
+  ListingScope of;
+  const bool lower = configuration_.floor() < theirs.floor, level = configuration_.floor() == theirs.floor;
   if ((level || (lower && !self_.core)) && !(self_.core && theirs.core)) {
-    const creed::Digest mine = lower ? digest_without_dropped(theirs.floor) : creed_.digest();
+    const configuration::Digest mine = lower ? digest_without_dropped(theirs.floor) : configuration_.digest();
     std::size_t many = 0;
-    for (std::size_t p = 0; p < creed::parts; ++p)
-      if (theirs.items[p] != mine[p]) of.items |= 1U << p, many += creed_.in_part(p);
+    for (std::size_t p = 0; p < configuration::parts; ++p)
+      if (theirs.items[p] != mine[p]) of.items |= 1U << p, many += configuration_.in_part(p);
     if (!self_.core && theirs.core && theirs.whole && std::popcount(of.items) >= many_parts) {
       repairing_ = asks_one_ = true;
       hurry(now);
     }
     if (now < flood_until_ && !theirs.core) of.items = 0;
     if (of.items != 0 && level && many <= few_items && !theirs.core) {
-      std::vector<creed::Item> items;
-      for (std::size_t p = 0; p < creed::parts; ++p)
+      std::vector<configuration::VersionedItem> items;
+      for (std::size_t p = 0; p < configuration::parts; ++p)
         if (of.items >> p & 1U)
-          for (auto& i : creed_.part(p))
-            if (may_stand(i.at, creed_.floor())) items.push_back(std::move(i));
+          for (auto& i : configuration_.part(p))
+            if (may_exist(i.at, configuration_.floor())) items.push_back(std::move(i));
       send_items(to, std::move(items), out);
       of.items = 0;
     }
@@ -228,8 +233,8 @@
   // One of the two lists what it holds: the other sends what that lacks, and lists in turn where it lacks
   // something itself.
   if (!theirs.answer)
-    for (std::size_t p = 0; p < creed::parts; ++p)
-      if (theirs.records[p] != roll_.digest()[p]) of.records |= 1U << p;
+    for (std::size_t p = 0; p < configuration::parts; ++p)
+      if (theirs.records[p] != members_.digest()[p]) of.records |= 1U << p;
   send_listing(to, of, false, out);
 }
 
@@ -262,27 +267,27 @@
 }  // namespace
 
 // Pieces that are each whole for what they name; of many some are drawn.
-void Rumour::send_listing(Machine to, const Scope& of, bool answer, Outbox& out) {
+void Gossip::send_listing(Machine to, const ListingScope& of, bool answer, Outbox& out) {
   if (of.empty()) return;
-  std::vector<Listed> records;
+  std::vector<RecordSummary> records;
   if (of.records != 0)
-    for (const auto& [m, e] : roll_.entries())
-      if (of.record(m)) records.push_back({m, e.record.life, e.record.word, e.record.lapsed});
-  std::vector<ListedItem> items;
+    for (const auto& [m, e] : members_.entries())
+      if (of.record(m)) records.push_back({m, e.record.incarnation, e.record.sequence, e.record.expired});
+  std::vector<ItemSummary> items;
   if (of.items != 0)
-    for (const auto& [name, item] : creed_.items()) {
-      if (item.dropped && item.at != 0 && item.at <= floor_told_) continue;  // about to be let go of
-      if (const auto hash = creed::hashed(name); of.item(hash))
+    for (const auto& [name, item] : configuration_.items()) {
+      if (item.dropped && item.at != 0 && item.at <= highest_floor_) continue;  // about to be let go of
+      if (const auto hash = configuration::hashed(name); of.item(hash))
         items.push_back({hash, item.at, item.version});
     }
-  auto of_records = pieces(std::move(records), of.first, of.last, &Listed::machine);
-  auto of_items = pieces(std::move(items), of.first_name, of.last_name, &ListedItem::name);
+  auto of_records = pieces(std::move(records), of.first, of.last, &RecordSummary::machine);
+  auto of_items = pieces(std::move(items), of.first_name, of.last_name, &ItemSummary::name);
   if (of.records == 0) of_records.clear();
   if (of.items == 0) of_items.clear();
   draw_pieces(of_records, chance_);
   draw_pieces(of_items, chance_);
   for (std::size_t p = 0; p < std::max(of_records.size(), of_items.size()); ++p) {
-    Listing l{answer, self_.core, creed_.floor(), {}, {}, {}};
+    ListingMessage l{answer, self_.core, configuration_.floor(), {}, {}, {}};
     if (p < of_records.size())
       l.of.records = of.records, l.of.first = of_records[p].first, l.of.last = of_records[p].last,
       l.records = std::move(of_records[p].listed);
@@ -293,39 +298,39 @@
   }
 }
 
-void Rumour::heard_listing(Machine from, const Listing& theirs, Outbox& out) {
-  floor_told(theirs.floor);
-  std::map<Machine, Record> told;
-  for (const Listed& l : theirs.records) {
-    Record& r = told[l.machine];
-    r.life = l.life, r.word = l.word, r.lapsed = l.lapsed;
+void Gossip::on_listing(Machine from, const ListingMessage& theirs, Outbox& out) {
+  observe_floor(theirs.floor);
+  std::map<Machine, MemberRecord> told;
+  for (const RecordSummary& l : theirs.records) {
+    MemberRecord& r = told[l.machine];
+    r.incarnation = l.incarnation, r.sequence = l.sequence, r.expired = l.expired;
   }
-  Scope lacks = theirs.of;  // parts of which this node lacks something
+  ListingScope lacks = theirs.of;  // parts of which this node lacks something
   lacks.records = lacks.items = 0;
-  News news;
+  UpdateMessage news;
   if (theirs.of.records != 0)
-    for (const auto& [m, e] : roll_.entries()) {
+    for (const auto& [m, e] : members_.entries()) {
       if (!theirs.of.record(m)) continue;
       const auto it = told.find(m);
       if (it == told.end() || newer(e.record, it->second))
         news.records.push_back(e.record);
       else if (newer(it->second, e.record))
-        lacks.records |= 1U << Roll::part_of(m);
+        lacks.records |= 1U << MembershipTable::part_of(m);
       if (it != told.end()) told.erase(it);
       if (news.records.size() >= most_records)
         out.push_back({from, written(kind::news, std::exchange(news, {}))});
     }
-  for (const auto& [m, r] : told) lacks.records |= 1U << Roll::part_of(m);
+  for (const auto& [m, r] : told) lacks.records |= 1U << MembershipTable::part_of(m);
   if (!news.records.empty()) out.push_back({from, written(kind::news, news)});
 
-  std::unordered_map<std::uint64_t, const ListedItem*> listed;
+  std::unordered_map<std::uint64_t, const ItemSummary*> listed;
   if (!(self_.core && theirs.core))
-    for (const ListedItem& i : theirs.items) listed.emplace(i.name, &i);
-  std::vector<creed::Item> items;
+    for (const ItemSummary& i : theirs.items) listed.emplace(i.name, &i);
+  std::vector<configuration::VersionedItem> items;
   std::vector<std::string> gone;
   if (theirs.of.items != 0)
-    for (const auto& [name, item] : creed_.items()) {
-      const auto hash = creed::hashed(name);
+    for (const auto& [name, item] : configuration_.items()) {
+      const auto hash = configuration::hashed(name);
       if (!theirs.of.item(hash)) continue;
       const auto it = listed.find(hash);
       if (it == listed.end()) {
@@ -335,45 +340,46 @@
         // number above its floor.
         if (theirs.core && !self_.core && item.at != 0 && item.at <= theirs.floor)
           gone.push_back(name);
-        else if (may_stand(item.at, creed_.floor()))
+        else if (may_exist(item.at, configuration_.floor()))
           items.push_back(item);
         continue;
       }
-      const creed::Item other{{}, it->second->version, false, {}, it->second->at};
-      if (creed::newer(item, other))
+      const configuration::VersionedItem other{{}, it->second->version, false, {}, it->second->at};
+      if (configuration::newer(item, other))
         items.push_back(item);
-      else if (!self_.core && creed::newer(other, item))
-        lacks.items |= 1U << creed::part_of(hash);
+      else if (!self_.core && configuration::newer(other, item))
+        lacks.items |= 1U << configuration::part_of(hash);
       listed.erase(it);
     }
-  for (const auto& name : gone) creed_.erase(name);
+  for (const auto& name : gone) configuration_.erase(name);
   const std::size_t most_bytes =
       theirs.of.all_names() ? most_repair_bytes : most_repair_bytes / most_listing_pieces;
   if (!theirs.core) send_items(from, portion(std::move(items), most_bytes), out);
   // A core lacks nothing that others have; it lists in turn what it has let go of, so that they do.
   for (const auto& [hash, i] : listed)
-    if (const bool gone_here = i->at != 0 && i->at <= creed_.floor();
-        self_.core ? gone_here : !gone_here && may_stand(i->at, theirs.floor))
-      lacks.items |= 1U << creed::part_of(hash);
+    if (const bool gone_here = i->at != 0 && i->at <= configuration_.floor();
+        self_.core ? gone_here : !gone_here && may_exist(i->at, theirs.floor))
+      lacks.items |= 1U << configuration::part_of(hash);
   if (!theirs.answer) send_listing(from, lacks, true, out);
 }
 
-void Rumour::heard_news(std::int64_t now, Machine from, const News& news, Outbox& out) {
-  News on;
+void Gossip::on_update(std::int64_t now, Machine from, const UpdateMessage& news, Outbox& out) {
+  UpdateMessage on;
   if (now >= flood_from_ + flood_span) flood_from_ = now, flood_count_ = 0;
-  floor_told(news.floor);
+  observe_floor(news.floor);
   if (!self_.core)
-    for (const creed::Item& i : news.items)
-      if ((creed_.find(i.name) || may_stand(i.at, news.floor)) && creed_.take(i)) {
+    for (const configuration::VersionedItem& i : news.items)
+      if ((configuration_.find(i.name) || may_exist(i.at, news.floor)) && configuration_.take(i)) {
         on.items.push_back(i);
         if (++flood_count_ > flood) flood_until_ = now + flood_span;
       }
-  for (const Record& r : news.records) {
+  for (const MemberRecord& r : news.records) {
     if (r.machine == self_.machine) {
-      // Word of an earlier life, or that this node has lapsed: the owner knows better.
+      // Word of an earlier incarnation, or that this node has expired: the owner knows better.
       if (newer(r, own_)) {
-        own_.life = std::max(own_.life, r.life + (r.life > own_.life ? 1 : 0));
-        own_.word = std::max(own_.word, r.word) + 1;
+        own_.incarnation =
+            std::max(own_.incarnation, r.incarnation + (r.incarnation > own_.incarnation ? 1 : 0));
+        own_.sequence = std::max(own_.sequence, r.sequence) + 1;
         take(own_, now);
         on.records.push_back(own_);
       }
@@ -384,7 +390,7 @@
   // What it lacked is coming in: whether that was all is asked at once, however seldom it asks by now.
   if (!self_.core && !caught_up_ && !on.items.empty()) hurry(now);
   if (repairing_ && among(cores_, from)) {
-    for (const creed::Item& i : on.items) repaired_bytes_ += size_of(i);
+    for (const configuration::VersionedItem& i : on.items) repaired_bytes_ += size_of(i);
     if (repaired_bytes_ >= most_repair_bytes / 4) {
       repaired_bytes_ = 0;
       send_digest(from, false, out);
@@ -393,54 +399,55 @@
   if (!on.items.empty() || !on.records.empty()) pass_on(std::move(on), from, out);
 }
 
-void Rumour::heard_told(std::int64_t now, Machine from, const Told& theirs, Outbox& out) {
+void Gossip::on_digest(std::int64_t now, Machine from, const DigestMessage& theirs, Outbox& out) {
   if (theirs.whole && among(unmet_, from)) unmet_.clear();
   if (self_.core) {
     renew(now, from, now, true);
     if (among(cores_, from)) {
-      cores_heard_[from] = now;
-      for (const Lease& l : theirs.leases) renew(now, l.machine, now - std::int64_t(l.age_ms) * 1000, false);
+      core_last_heard_[from] = now;
+      for (const MemberLease& l : theirs.leases)
+        renew(now, l.machine, now - std::int64_t(l.age_ms) * 1000, false);
     }
   } else {
     if (!theirs.cores.empty() && theirs.whole && theirs.epoch >= epoch_) cores(theirs.cores, theirs.epoch);
-    floor_told(theirs.floor);
+    observe_floor(theirs.floor);
     // It differs from a whole copy by nothing but tombstones that have been let go of there.
-    if (theirs.core && theirs.whole && theirs.floor > creed_.floor() &&
+    if (theirs.core && theirs.whole && theirs.floor > configuration_.floor() &&
         digest_without_dropped(theirs.floor) == theirs.items)
-      creed_.let_go(theirs.floor);
+      configuration_.let_go(theirs.floor);
   }
-  const bool same = theirs.items == creed_.digest();
+  const bool same = theirs.items == configuration_.digest();
   if (theirs.core && theirs.whole) {
     caught_up_ = caught_up_ || same;
     repairing_ = repairing_ && !same;
     // Who has waited long for one asks as often as who begins, from the first that it meets.
     if (!std::exchange(met_, true)) hurry(now);
   }
-  if (!same || theirs.records != roll_.digest()) send_gaps(now, from, theirs, out);
+  if (!same || theirs.records != members_.digest()) send_differences(now, from, theirs, out);
   // Whose items differ sends its own back, too; who begins learns by the answer that it has all, who is
   // behind how far others have let go and who is core. Cores learn all that from each other in another way.
-  const bool behind = theirs.floor < creed_.floor() || theirs.epoch < epoch_;
+  const bool behind = theirs.floor < configuration_.floor() || theirs.epoch < epoch_;
   if (!theirs.answer && (!theirs.whole || (!(self_.core && theirs.core) && (!same || behind))))
     send_digest(from, true, out);
 }
 
-void Rumour::heard(std::int64_t now, Machine from, std::string_view datagram, Outbox& out) {
+void Gossip::on_datagram(std::int64_t now, Machine from, std::string_view datagram, Outbox& out) {
   if (kind_of(datagram) == kind::news) {
-    if (const auto news = read<News>(datagram)) heard_news(now, from, *news, out);
+    if (const auto news = read<UpdateMessage>(datagram)) on_update(now, from, *news, out);
   } else if (kind_of(datagram) == kind::listing) {
-    if (const auto listing = read<Listing>(datagram)) heard_listing(from, *listing, out);
+    if (const auto listing = read<ListingMessage>(datagram)) on_listing(from, *listing, out);
   } else if (kind_of(datagram) == kind::digest) {
-    if (const auto told = read<Told>(datagram)) heard_told(now, from, *told, out);
+    if (const auto told = read<DigestMessage>(datagram)) on_digest(now, from, *told, out);
   }
 }
 
-void Rumour::leapt(std::int64_t, Outbox& out) {
+void Gossip::leapt(std::int64_t, Outbox& out) {
   with_majority_ = 0;
   for (const Machine m : cores_)
     if (m != self_.machine) send_digest(m, false, out);
 }
 
-void Rumour::tick(std::int64_t now, Outbox& out) {
+void Gossip::tick(std::int64_t now, Outbox& out) {
   if (now < next_) return;
   const bool hurried = !self_.core && !caught_up_;
   std::uniform_int_distribution<std::int64_t> about(9, 11);
@@ -471,11 +478,11 @@
 
 // Only a core that has heard a majority of the core for a whole term, and so all leases, may tell that one
 // has run out.
-void Rumour::sweep(std::int64_t now, Outbox& out) {
+void Gossip::sweep(std::int64_t now, Outbox& out) {
   std::size_t heard = 1;
   for (const Machine m : cores_)
-    if (const auto it = cores_heard_.find(m);
-        m != self_.machine && it != cores_heard_.end() && now - it->second < heard_lately)
+    if (const auto it = core_last_heard_.find(m);
+        m != self_.machine && it != core_last_heard_.end() && now - it->second < heard_lately)
       ++heard;
   if (2 * heard <= cores_.size()) {
     with_majority_ = 0;
@@ -483,19 +490,19 @@
   }
   if (with_majority_ == 0) with_majority_ = now;
   if (now - with_majority_ < lease_term) return;
-  std::vector<Record> lapsed;
-  for (const auto& [m, e] : roll_.entries()) {
-    if (e.record.lapsed) leases_.erase(m);
-    if (m == self_.machine || e.record.lapsed) continue;
+  std::vector<MemberRecord> expired;
+  for (const auto& [m, e] : members_.entries()) {
+    if (e.record.expired) leases_.erase(m);
+    if (m == self_.machine || e.record.expired) continue;
     const auto lease = leases_.find(m);
     if (now - std::max(e.heard, lease == leases_.end() ? 0 : lease->second.at) < lease_term) continue;
-    lapsed.push_back(e.record);
-    lapsed.back().lapsed = true;
+    expired.push_back(e.record);
+    expired.back().expired = true;
   }
-  for (const Record& r : lapsed) {
+  for (const MemberRecord& r : expired) {
     take(r, now);
     pass_on({{}, {r}, 0}, 0, out);
   }
 }
 
-}  // namespace robinpin::rumour
+}  // namespace robinpin::gossip
--- a/src/rumour/wire.h
+++ b/src/gossip/messages.h
@@ -15,9 +15,9 @@
 #include <utility>
 #include <vector>
 
-#include "roll.h"
+#include "membership_table.h"
 
-namespace robinpin::rumour {
+namespace robinpin::gossip {
 
 // Reads a datagram in place. Unlike cereal's own it believes no length beyond the bytes that are there.
 class Reading : public cereal::InputArchive<Reading, cereal::AllowEmptyClassElision> {
@@ -56,9 +56,9 @@
 
 enum class kind : std::uint8_t { news = 1, digest, fetch, fetched, store, stored, listing };
 
-struct News {  // passed on to a few others
-  std::vector<creed::Item> items;
-  std::vector<Record> records;
+struct UpdateMessage {  // passed on to a few others
+  std::vector<configuration::VersionedItem> items;
+  std::vector<MemberRecord> records;
   std::uint64_t floor = 0;  // its sender's: what stands there at or below it was not dropped up to it
   template <typename A>
   void serialize(A& a) {
@@ -66,7 +66,7 @@
   }
 };
 
-struct Lease {  // a member's, as a core has heard it
+struct MemberLease {  // a member's, as a core has heard it
   Machine machine = 0;
   std::uint16_t age_ms = 0;  // 65,535: so old or older
   template <typename A>
@@ -75,33 +75,33 @@
   }
 };
 
-struct Told {           // by which gaps are found; a member's renews its lease at a core
+struct DigestMessage {  // by which gaps are found; a member's renews its lease at a core
   bool answer = false;  // not to be answered by another
   bool whole = false;   // its sender holds all that a majority of the core does
-  creed::Digest items{}, records{};
+  configuration::Digest items{}, records{};
   std::vector<Machine> cores;
-  std::vector<Lease> leases;  // of cores, to cores
-  bool core = false;          // its sender is a core machine
-  std::uint64_t floor = 0;    // of its sender's copy: dropped names are gone from it up to there
-  std::uint64_t epoch = 0;    // of `cores`: grows with each change of who is core
+  std::vector<MemberLease> leases;  // of cores, to cores
+  bool core = false;                // its sender is a core machine
+  std::uint64_t floor = 0;          // of its sender's copy: dropped names are gone from it up to there
+  std::uint64_t epoch = 0;          // of `cores`: grows with each change of who is core
   template <typename A>
   void serialize(A& a) {
     a(answer, whole, items, records, cores, leases, core, floor, epoch);
   }
 };
 
-struct Listed {  // how new a record is that its sender holds
+struct RecordSummary {  // how new a record is that its sender holds
   Machine machine = 0;
-  std::uint64_t life = 0;
-  std::uint32_t word = 0;
-  bool lapsed = false;
+  std::uint64_t incarnation = 0;
+  std::uint32_t sequence = 0;
+  bool expired = false;
   template <typename A>
   void serialize(A& a) {
-    a(machine, life, word, lapsed);
+    a(machine, incarnation, sequence, expired);
   }
 };
 
-struct ListedItem {                             // how new an item is that its sender holds
+struct ItemSummary {                            // how new an item is that its sender holds
   std::uint64_t name = 0, at = 0, version = 0;  // its name's hash
   template <typename A>
   void serialize(A& a) {
@@ -111,13 +111,15 @@
 
 // What a listing is whole for: parts, and of each the machines and the hashes of names from `first` to
 // `last`.
-struct Scope {
+struct ListingScope {
   std::uint32_t records = 0, items = 0;  // a bit a part
   Machine first = 0, last = ~Machine(0);
   std::uint64_t first_name = 0, last_name = ~std::uint64_t(0);
-  bool record(Machine m) const { return (records >> Roll::part_of(m) & 1U) && m >= first && m <= last; }
+  bool record(Machine m) const {
+    return (records >> MembershipTable::part_of(m) & 1U) && m >= first && m <= last;
+  }
   bool item(std::uint64_t name) const {
-    return (items >> creed::part_of(name) & 1U) && name >= first_name && name <= last_name;
+    return (items >> configuration::part_of(name) & 1U) && name >= first_name && name <= last_name;
   }
   bool all_names() const { return first_name == 0 && last_name == ~std::uint64_t(0); }
   bool empty() const { return records == 0 && items == 0; }
@@ -127,14 +129,15 @@
   }
 };
 
-struct Listing {  // of all records and items in the parts in which two differ: only what the other lacks is
-                  // sent then
+struct ListingMessage {  // of all records and items in the parts in which two differ: only what the other
+                         // lacks is
+                         // sent then
   bool answer = false;
   bool core = false;        // its sender is a core machine
   std::uint64_t floor = 0;  // of its sender's copy
-  Scope of;
-  std::vector<Listed> records;
-  std::vector<ListedItem> items;
+  ListingScope of;
+  std::vector<RecordSummary> records;
+  std::vector<ItemSummary> items;
   template <typename A>
   void serialize(A& a) {
     a(answer, core, floor, of, records, items);
@@ -144,7 +147,7 @@
 struct Fetch {  // a core asks another what it holds beyond this
   std::uint64_t id = 0;
   std::uint32_t round = 0;  // pieces of answers to different ones don't make one answer
-  creed::Digest items{};
+  configuration::Digest items{};
   template <typename A>
   void serialize(A& a) {
     a(id, round, items);
@@ -156,7 +159,7 @@
   std::uint32_t round = 0, piece = 0, pieces = 1;
   bool whole = false;  // its sender counts as a copy
   std::vector<Machine> cores;
-  std::vector<creed::Item> items;
+  std::vector<configuration::VersionedItem> items;
   template <typename A>
   void serialize(A& a) {
     a(id, round, piece, pieces, whole, cores, items);
@@ -165,7 +168,7 @@
 
 struct Store {  // to be synced and then answered
   std::uint64_t id = 0;
-  std::vector<creed::Item> items;
+  std::vector<configuration::VersionedItem> items;
   template <typename A>
   void serialize(A& a) {
     a(id, items);
@@ -217,15 +220,18 @@
   }
 }
 
-inline std::size_t size_of(const creed::Item& i) { return 40 + i.name.size() + i.text.size(); }
+inline std::size_t size_of(const configuration::VersionedItem& i) {
+  return 40 + i.name.size() + i.text.size();
+}
 
 // Items in pieces that each fit a datagram; one piece at the least.
-inline std::vector<std::vector<creed::Item>> pieces_of(std::vector<creed::Item> items) {
-  std::vector<std::vector<creed::Item>> pieces(1);
+inline std::vector<std::vector<configuration::VersionedItem>> pieces_of(
+    std::vector<configuration::VersionedItem> items) {
+  std::vector<std::vector<configuration::VersionedItem>> pieces(1);
   std::size_t size = 0, all = 0;
-  for (const creed::Item& i : items) all += size_of(i);
+  for (const configuration::VersionedItem& i : items) all += size_of(i);
   const std::size_t most = all > bulk ? bulk_datagram : full_datagram;
-  for (creed::Item& i : items) {
+  for (configuration::VersionedItem& i : items) {
     if (!pieces.back().empty() && size + size_of(i) > most) pieces.emplace_back(), size = 0;
     size += size_of(i);
     pieces.back().push_back(std::move(i));
@@ -233,6 +239,6 @@
   return pieces;
 }
 
-}  // namespace robinpin::rumour
+}  // namespace robinpin::gossip
 
-CEREAL_REGISTER_ARCHIVE(robinpin::rumour::Reading)
+CEREAL_REGISTER_ARCHIVE(robinpin::gossip::Reading)
--- a/src/rumour/lot.h
+++ b/src/gossip/peer_sampler.h
@@ -7,9 +7,9 @@
 #include <utility>
 #include <vector>
 
-namespace robinpin::rumour {
+namespace robinpin::gossip {
 
-class Lot {
+class PeerSampler {
  public:
   using Machine = std::uint32_t;
 
@@ -46,4 +46,4 @@
   std::unordered_map<Machine, std::size_t> place_;
 };
 
-}  // namespace robinpin::rumour
+}  // namespace robinpin::gossip
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -8,8 +8,8 @@
 #include <exception>
 #include <optional>
 
+#include "../app/command.h"
 #include "../config/file.h"
-#include "../mesh/command.h"
 #include "fleet_orders.h"
 #include "node.h"
 
@@ -86,7 +86,7 @@
   for (int fd = 0; fd <= 2; ++fd)
     if (::fcntl(fd, F_GETFD) < 0) ::open("/dev/null", O_RDWR);
 
-  if (mesh::is_role(argc, argv)) return mesh::run(argc, argv);
+  if (app::is_role(argc, argv)) return app::run(argc, argv);
 
   CLI::App app{
       "robinpin, a load balancer for services that call services.\n"
--- a/src/port/calls.h
+++ b/src/rpc/calls.h
@@ -8,10 +8,10 @@
 #include <string>
 #include <string_view>
 
-#include "../creed/adjust.h"
-#include "port.h"
+#include "../configuration/configuration_change.h"
+#include "server.h"
 
-namespace robinpin::port {
+namespace robinpin::rpc {
 
 struct Done {  // a plain yes or no
   bool good = true;
@@ -42,7 +42,7 @@
       b.capacity = std::max(1, v->GetInt());
     if (const auto* v = rapidjson::Pointer("/sequence").Get(d); v && v->IsUint64())
       b.sequence = v->GetUint64();
-    b.warmup_left = std::max<std::int64_t>(0, creed::span_of(text("/warmup_left")));
+    b.warmup_left = std::max<std::int64_t>(0, configuration::span_of(text("/warmup_left")));
     if (b.target.empty() || b.address.empty()) return std::nullopt;
     return b;
   }
@@ -106,4 +106,4 @@
   static std::optional<Status> read(std::string_view, std::string_view) { return Status{}; }
 };
 
-}  // namespace robinpin::port
+}  // namespace robinpin::rpc
--- a/src/port/port.cpp
+++ b/src/rpc/server.cpp
@@ -1,11 +1,11 @@
-#include "port.h"
+#include "server.h"
 
 #include <fmt/format.h>
 
 #include "../net/detached.h"
 #include "../net/listening.h"
 
-namespace robinpin::port {
+namespace robinpin::rpc {
 
 namespace {
 using namespace std::chrono_literals;
@@ -149,4 +149,4 @@
   co_return Reply{elsewhere ? 405 : 404, R"({"fault":"no such call"})", {}};
 }
 
-}  // namespace robinpin::port
+}  // namespace robinpin::rpc
--- a/src/port/port.h
+++ b/src/rpc/server.h
@@ -13,7 +13,7 @@
 
 #include "../net/connection.h"
 
-namespace robinpin::port {
+namespace robinpin::rpc {
 
 using asio::awaitable;
 using node::Connection;
@@ -79,4 +79,4 @@
   std::vector<Entry> calls_;
 };
 
-}  // namespace robinpin::port
+}  // namespace robinpin::rpc
--- /dev/null
+++ b/src/sidecar/inbound_proxy.cpp
@@ -0,0 +1,131 @@
+#include "inbound_proxy.h"
+
+#include <algorithm>
+#include <charconv>
+
+namespace robinpin::sidecar {
+
+using namespace std::chrono_literals;
+
+std::int64_t steady_now() {
+  return std::chrono::duration_cast<std::chrono::microseconds>(steady::now().time_since_epoch()).count();
+}
+
+namespace {
+ConnectionOptions at_server() {
+  ConnectionOptions m;
+  m.dial_limit = 300ms;
+  m.idle_limit = 8s;
+  m.strangers = true;
+  return m;
+}
+}  // namespace
+
+InboundProxy::InboundProxy(asio::io_context& io, Sockets& sockets, const bootstrap::Settings& settings,
+                           tcp::endpoint application)
+    : settings_(settings),
+      upstream_(io, sockets, application, at_server()),
+      plan_(std::make_shared<configuration::RouteTable>()) {
+  sockets.evict_by([this] { return upstream_.evict(); });
+}
+
+std::int64_t InboundProxy::now() const { return steady_now(); }
+
+void InboundProxy::plan(std::shared_ptr<const configuration::RouteTable> plan) {
+  plan_ = std::move(plan);
+  shortest_.clear();
+  for (const auto& [host, channels] : plan_->hosts)
+    for (const auto& [prefix, c] : channels)
+      for (const configuration::WeightedTarget& s : c->shares)
+        if (auto& d = shortest_[s.service]; d == 0 || c->deadline < d) d = c->deadline;
+}
+
+admission::AdmissionController::Bounds InboundProxy::bounds() const {
+  admission::AdmissionController::Bounds b;
+  b.known = ready_;
+  b.link = settings_.link_mbps * 1e6 / 8;
+  if (const auto s = plan_->services.find(admission_.server().service); s != plan_->services.end()) {
+    b.warmup_per_s = s->second.warmup_per_s;
+    b.most_cold = b.warmup_per_s * settings_.warmup_overshoot + settings_.warmup_slack;
+    b.conn_limit = s->second.conn_limit;
+  }
+  if (const auto d = shortest_.find(admission_.server().service); d != shortest_.end())
+    b.shortest = d->second;
+  b.emptied = plan_->emptied.contains(settings_.zone);
+  return b;
+}
+
+awaitable<Result> InboundProxy::take(std::shared_ptr<InFlightRequest> in_flight,
+                                     std::shared_ptr<const OutgoingRequest> request, std::string instance,
+                                     admission::AdmissionController::Asked asked, steady::time_point until) {
+  Result r;
+  const admission::held why = verdict(instance, asked);
+  if (why != admission::held::none) {
+    r.how = outcome::held;
+    r.why = admission::names[std::size_t(why)];
+    co_return r;
+  }
+  if (last_instance_ != admission_.server().id) upstream_.renew(), last_instance_ = admission_.server().id;
+  const int beside = admission_.at_work();
+  const bool comes = request->source != nullptr;
+  admission_.sent(comes);
+  // Of its bytes those that have come, and at its end the others, are counted no more.
+  const auto to_come = std::make_shared<double>(asked.bytes);
+  const auto came = [this, to_come](double bytes) {
+    bytes = std::min(bytes, *to_come);
+    admission_.comes(-bytes), *to_come -= bytes;
+  };
+  if (comes) admission_.comes(*to_come), request->source->moved = came;
+  in_flight->wrote = [this, comes] { admission_.wrote(now(), comes); };
+  r.fate = co_await upstream_.carry(in_flight, request, until);
+  in_flight->wrote = nullptr;
+  if (comes) request->source->moved = nullptr, came(*to_come);
+  UpstreamResult& f = r.fate;
+  const bool wrote = f.how_far >= came::written && !f.early;
+  if (wrote) admission_.ended(now(), beside, f.how_far == came::answered && f.status < 300 ? f.served : 0);
+  const bool begun = comes && request->source->let_go;  // its head and a part of its body went out
+  if (!wrote) admission_.never_wrote(now(), comes, begun);
+  if (f.how_far < came::written && begun) {
+    // An arrival, and known not to have run: the server has no whole request.
+    r.how = outcome::refused;
+    f.status = 503;
+    f.headers = {{"X-Not-Executed", "1"}, {"X-Attempt-Id", request->id}};
+    if (!request->source->failed) upstream_.forget();
+  } else if (f.how_far < came::written) {
+    r.how = outcome::held;
+    r.why = "unreachable";
+    upstream_.forget();
+  } else if (f.how_far == came::answered) {
+    const bool good = f.status >= 200 && f.status < 300;
+    if (!f.header("X-Not-Executed").empty() || f.status == 421) {
+      r.how = outcome::refused;
+    } else if (f.early) {
+      r.why = "spoilt";  // an answer to what it has not read whole
+    } else if (good && (f.header("X-Server-Seal").empty() || f.header("X-Attempt-Id") != request->id ||
+                        !f.header("Content-Encoding").empty())) {
+      r.why = "spoilt";
+    } else {
+      r.how = outcome::answered;
+    }
+  } else {
+    r.why = f.broken ? "spoilt" : f.ran_out ? "late" : "broken";
+  }
+  co_return r;
+}
+
+awaitable<std::optional<UpstreamResult>> InboundProxy::probe(std::string instance, steady::duration limit) {
+  if (!admission_.has_server() || instance != admission_.server().id) co_return std::nullopt;
+  auto request = std::make_shared<OutgoingRequest>();
+  request->method = "GET";
+  const auto service = plan_->services.find(admission_.server().service);
+  request->target = service == plan_->services.end() ? "/probe" : service->second.probe;
+  request->headers = "Host: " + admission_.server().address + "\r\n";
+  UpstreamResult f =
+      co_await upstream_.carry(std::make_shared<InFlightRequest>(), request, steady::now() + limit);
+  if (const auto cold = f.header("X-Warmup-Ms");
+      !cold.empty() && f.header("X-ConsensusReply-Instance") == admission_.server().id)
+    if (const auto ms = codec::whole_number(cold); ms >= 0) admission_.cold_for(now(), ms * 1000);
+  co_return f;
+}
+
+}  // namespace robinpin::sidecar
--- a/src/ambit/hand.h
+++ b/src/sidecar/inbound_proxy.h
@@ -8,12 +8,12 @@
 #include <optional>
 #include <string>
 
-#include "../creed/plan.h"
-#include "../gate/gate.h"
-#include "../ground/settings.h"
-#include "way.h"
+#include "../admission/admission_controller.h"
+#include "../bootstrap/settings.h"
+#include "../configuration/route_table.h"
+#include "upstream_pool.h"
 
-namespace robinpin::ambit {
+namespace robinpin::sidecar {
 
 // How a try ended at the server's node: what the caller's node has to know of it.
 enum class outcome {
@@ -25,8 +25,8 @@
 
 struct Result {
   outcome how = outcome::unknown;
-  std::string why;  // held: by the gate's name; unknown: what broke
-  Fate fate;        // answered and refused: what the server said
+  std::string why;      // held: by the gate's name; unknown: what broke
+  UpstreamResult fate;  // answered and refused: what the server said
 };
 
 // Headers between nodes; they never leave the mesh.
@@ -37,32 +37,34 @@
   return name.size() > 7 && codec::same_name(name.substr(0, 7), "X-Mesh-");
 }
 
-class Hand {
+class InboundProxy {
  public:
-  Hand(asio::io_context& io, Sockets& sockets, const ground::Settings& settings, tcp::endpoint application);
+  InboundProxy(asio::io_context& io, Sockets& sockets, const bootstrap::Settings& settings,
+               tcp::endpoint application);
 
   // `instance`: the server that the caller means. Until `until` at the latest.
-  awaitable<Result> take(std::shared_ptr<Errand> errand, std::shared_ptr<const Parcel> parcel,
-                         std::string instance, gate::Gate::Asked asked, steady::time_point until);
+  awaitable<Result> take(std::shared_ptr<InFlightRequest> in_flight,
+                         std::shared_ptr<const OutgoingRequest> request, std::string instance,
+                         admission::AdmissionController::Asked asked, steady::time_point until);
   // Whether the gate would let it pass now: asked before a long body is sent.
-  gate::held verdict(const std::string& instance, const gate::Gate::Asked& asked) {
-    return gate_.verdict(now(), instance, bounds(), asked);
+  admission::held verdict(const std::string& instance, const admission::AdmissionController::Asked& asked) {
+    return admission_.verdict(now(), instance, bounds(), asked);
   }
   // Asks the server how it is, on the path of its service. Nothing where it can't be asked.
-  awaitable<std::optional<Fate>> probe(std::string instance, steady::duration limit);
+  awaitable<std::optional<UpstreamResult>> probe(std::string instance, steady::duration limit);
 
-  gate::Gate& door() { return gate_; }
-  void plan(std::shared_ptr<const creed::Plan> plan);
+  admission::AdmissionController& door() { return admission_; }
+  void plan(std::shared_ptr<const configuration::RouteTable> plan);
   void ready(bool is) { ready_ = is; }  // caught up: before that nothing passes
-  void sweep() { way_.sweep(); }
+  void sweep() { upstream_.sweep(); }
   std::int64_t now() const;
 
  private:
-  gate::Gate::Bounds bounds() const;
-  const ground::Settings& settings_;
-  Way way_;
-  gate::Gate gate_;
-  std::shared_ptr<const creed::Plan> plan_;
+  admission::AdmissionController::Bounds bounds() const;
+  const bootstrap::Settings& settings_;
+  UpstreamPool upstream_;
+  admission::AdmissionController admission_;
+  std::shared_ptr<const configuration::RouteTable> plan_;
   bool ready_ = false;
   std::string last_instance_;
   std::map<std::string, std::int64_t> shortest_;  // by service
@@ -71,4 +73,4 @@
 // The steady clock in microseconds.
 std::int64_t steady_now();
 
-}  // namespace robinpin::ambit
+}  // namespace robinpin::sidecar
--- a/src/ambit/carry.cpp
+++ b/src/sidecar/outbound_proxy.cpp
@@ -1,4 +1,4 @@
-#include "carry.h"
+#include "outbound_proxy.h"
 
 #include <fmt/format.h>
 
@@ -6,10 +6,10 @@
 
 #include "../net/detached.h"
 #include "../net/listening.h"
-#include "../port/port.h"
-#include "../span/address.h"
+#include "../rpc/server.h"
+#include "../transport/address.h"
 
-namespace robinpin::ambit {
+namespace robinpin::sidecar {
 
 namespace {
 
@@ -27,8 +27,8 @@
 constexpr int bodies_part = 4;  // of this process's memory that bodies may take, as a divisor
 constexpr auto closes_idle_after = 2500ms;  // after SIGTERM: callers have been told by then
 
-Manners between_nodes() {
-  Manners m;
+ConnectionOptions between_nodes() {
+  ConnectionOptions m;
   m.dial_limit = 250ms;
   m.idle_limit = 25s;
   m.user_timeout_ms = 800;
@@ -37,10 +37,10 @@
 }
 
 // Whether a caller of this connection is gone, told once, while nothing else is read there.
-class Watch {
+class DisconnectWatch {
  public:
   // While a body is still being read that reading tells it: the watch begins when it is whole.
-  Watch(std::shared_ptr<Connection> c, std::shared_ptr<Source> source, std::function<void()> gone)
+  DisconnectWatch(std::shared_ptr<Connection> c, std::shared_ptr<Source> source, std::function<void()> gone)
       : c_(std::move(c)), source_(std::move(source)), state_(std::make_shared<State>()) {
     state_->gone = std::move(gone);
     if (source_)
@@ -48,14 +48,14 @@
     else
       wait();
   }
-  ~Watch() {
+  ~DisconnectWatch() {
     state_->over = true;
     if (source_) source_->whole = nullptr;
     asio::error_code ignored;
     if (c_->open() && state_->waits) c_->socket.cancel(ignored);
   }
-  Watch(const Watch&) = delete;
-  Watch& operator=(const Watch&) = delete;
+  DisconnectWatch(const DisconnectWatch&) = delete;
+  DisconnectWatch& operator=(const DisconnectWatch&) = delete;
 
  private:
   struct State {
@@ -81,7 +81,7 @@
 
 // How long a caller waits for its answer from the sending of its request: as it says, but no longer than the
 // route's deadline.
-micros remaining_of(const codec::Message& request, const creed::Channel& route) {
+micros remaining_of(const codec::Message& request, const configuration::Route& route) {
   constexpr long long longest_ms = 600'000;
   if (request.times("X-Remaining-Ms") == 0) return route.deadline;
   const long long told_ms = codec::whole_number(request.header("X-Remaining-Ms"));
@@ -113,34 +113,35 @@
 
 }  // namespace
 
-Carry::Carry(asio::io_context& io, const node::Clock& clock, Sockets& sockets,
-             const ground::Settings& settings, Hand& hand, std::uint32_t seed)
+OutboundProxy::OutboundProxy(asio::io_context& io, const node::Clock& clock, Sockets& sockets,
+                             const bootstrap::Settings& settings, InboundProxy& hand, std::uint32_t seed)
     : io_(io),
       clock_(clock),
       sockets_(sockets),
       settings_(settings),
-      hand_(hand),
-      choices_(io, clock, desk_counts_, settings, seed),
-      plan_(std::make_shared<creed::Plan>()),
+      inbound_proxy_(hand),
+      balancers_(io, clock, desk_counts_, settings, seed),
+      plan_(std::make_shared<configuration::RouteTable>()),
       most_bodies_(std::size_t(settings.memory_mb) * 1024 * 1024 / bodies_part),
       chance_(seed),
-      self_(span::parse_address(settings.ip)) {
-  account_.bounds(settings.retry_window, settings.retry_ratio, settings.retry_slack, 1);
-  sockets.evict_by(
-      [this] { return std::any_of(ways_.begin(), ways_.end(), [](auto& w) { return w.second->evict(); }); });
+      self_(transport::parse_address(settings.ip)) {
+  retry_budget_.bounds(settings.retry_window, settings.retry_ratio, settings.retry_slack, 1);
+  sockets.evict_by([this] {
+    return std::any_of(upstreams_.begin(), upstreams_.end(), [](auto& w) { return w.second->evict(); });
+  });
 }
 
-void Carry::plan(std::shared_ptr<const creed::Plan> plan) {
+void OutboundProxy::plan(std::shared_ptr<const configuration::RouteTable> plan) {
   const bool rest_longer = plan->bounds.idle > plan_->bounds.idle;
   plan_ = plan;
   if (rest_longer) extend_idle();
-  hand_.plan(plan);
-  choices_.plan(*plan);
+  inbound_proxy_.plan(plan);
+  balancers_.plan(*plan);
 }
 
 // Clients go by the limit that is in force as they take up a connection, not by the one under which it began
 // to rest. A shorter one binds connections from their next rest on: some clients still go by the longer.
-void Carry::extend_idle() {
+void OutboundProxy::extend_idle() {
   for (const auto& weak : callers_) {
     const auto c = weak.lock();
     if (!c || !c->open() || c->in.begun() || c->idle_since == steady::time_point()) continue;
@@ -148,34 +149,35 @@
   }
 }
 
-void Carry::servers(const rumour::Roll& roll, std::int64_t now) {
-  choices_.servers(roll, *plan_, now);
-  // Of what is free each of twice the nodes known has a part: some may be unknown here, and a new life begins
-  // anew.
-  account_.bounds(settings_.retry_window, settings_.retry_ratio, settings_.retry_slack, 2 * choices_.nodes());
-  for (auto& [machine, w] : ways_)
-    if (const rumour::Record* r = roll.find(machine); r && r->lapsed) w->forget();
+void OutboundProxy::servers(const gossip::MembershipTable& roll, std::int64_t now) {
+  balancers_.servers(roll, *plan_, now);
+  // Of what is free each of twice the nodes known has a part: some may be unknown here, and a new incarnation
+  // begins anew.
+  retry_budget_.bounds(settings_.retry_window, settings_.retry_ratio, settings_.retry_slack,
+                       2 * balancers_.nodes());
+  for (auto& [machine, w] : upstreams_)
+    if (const gossip::MemberRecord* r = roll.find(machine); r && r->expired) w->forget();
 }
 
-Way& Carry::way(rumour::Machine m) {
-  auto& w = ways_[m];
+UpstreamPool& OutboundProxy::way(gossip::Machine m) {
+  auto& w = upstreams_[m];
   if (!w) {
     const auto colon = settings_.ports.at("inbound").rfind(':');
-    w = std::make_unique<Way>(
+    w = std::make_unique<UpstreamPool>(
         io_, sockets_,
-        node::endpoint_of(span::format_address(m) + settings_.ports.at("inbound").substr(colon)),
+        node::endpoint_of(transport::format_address(m) + settings_.ports.at("inbound").substr(colon)),
         between_nodes());
   }
   return *w;
 }
 
-void Carry::sweep() {
-  for (auto& [m, w] : ways_) w->sweep();
-  hand_.sweep();
+void OutboundProxy::sweep() {
+  for (auto& [m, w] : upstreams_) w->sweep();
+  inbound_proxy_.sweep();
   std::erase_if(callers_, [](const auto& c) { return c.expired(); });
 }
 
-void Carry::ends(micros refuses_from) {
+void OutboundProxy::ends(micros refuses_from) {
   ending_ = true;
   refuses_from_ = refuses_from;
   auto timer = std::make_shared<asio::steady_timer>(io_, closes_idle_after);
@@ -185,7 +187,7 @@
   });
 }
 
-Carry::Answer Carry::own(int status, std::string_view fault, micros come_back) {
+OutboundProxy::Answer OutboundProxy::own(int status, std::string_view fault, micros come_back) {
   Answer a;
   a.status = status;
   a.body = fmt::format("{{\"fault\":\"{}\"}}", fault);
@@ -194,7 +196,7 @@
   return a;
 }
 
-Carry::Answer Carry::passed_on(const Fate& f) {
+OutboundProxy::Answer OutboundProxy::passed_on(const UpstreamResult& f) {
   Answer a;
   a.status = f.status;
   for (const auto& [name, value] : f.headers)
@@ -205,18 +207,18 @@
 
 // The mark alone says that a request has not run: a server's own status makes no promise for one that may run
 // once.
-Carry::Answer Carry::passed_on(const Fate& f, const Trip& t) {
+OutboundProxy::Answer OutboundProxy::passed_on(const UpstreamResult& f, const ClientRequest& t) {
   const bool promises = f.status == 408 || f.status == 429 || f.status == 503;
-  if (promises && t.channel->kind != creed::mode::idempotent)
+  if (promises && t.channel->kind != configuration::mode::idempotent)
     return own(502, "the server has not said that it did not run it");
   return passed_on(f);
 }
 
-awaitable<void> Carry::serve(std::shared_ptr<Connection> c) {
+awaitable<void> OutboundProxy::serve(std::shared_ptr<Connection> c) {
   callers_.push_back(c);
   for (bool first = true;; first = false) {
     if (!c->in.begun()) {
-      const creed::Bounds& bounds = plan_->bounds;
+      const configuration::Bounds& bounds = plan_->bounds;
       if (!first) c->idle_since = steady::now();
       c->limit(steady::now() + std::chrono::microseconds(first ? bounds.header : bounds.idle));
       if (!c->in.behind()) {
@@ -266,7 +268,7 @@
     c->limit(steady::now() + write_limit);
     const bool bare = a.status == 204 || a.status == 304;
     const std::string head =
-        fmt::format("HTTP/1.1 {} {}\r\n{}{}{}\r\n", a.status, port::phrase(a.status), a.headers,
+        fmt::format("HTTP/1.1 {} {}\r\n{}{}{}\r\n", a.status, rpc::phrase(a.status), a.headers,
                     bare ? "" : fmt::format("Content-Length: {}\r\n", a.body.size()),
                     stays ? "" : "Connection: close\r\n");
     std::size_t written = 0;
@@ -280,8 +282,8 @@
   }
 }
 
-awaitable<Carry::Answer> Carry::answer_to(std::shared_ptr<Connection> c, std::shared_ptr<Source> source,
-                                          bool& gone) {
+awaitable<OutboundProxy::Answer> OutboundProxy::answer_to(std::shared_ptr<Connection> c,
+                                                          std::shared_ptr<Source> source, bool& gone) {
   const codec::Message& m = c->in;
   const std::string id(m.header("X-Attempt-Id"));
   if (!codec::plain_word(id) || m.times("X-Attempt-Id") != 1 || !m.clean()) {
@@ -296,7 +298,7 @@
     ++counts_.refused;
     co_return own(503, "this node is about to end", unready_back);
   }
-  auto t = std::make_shared<Trip>();
+  auto t = std::make_shared<ClientRequest>();
   t->plan = plan_;
   t->channel = plan_->find(m.header("Host"), m.target());
   if (!t->channel) {
@@ -311,8 +313,8 @@
     co_return own(503, "no time is left");
   }
   t->service = t->channel->service(double(chance_()) / 4294967296.0);
-  Choices::Choice* choice = choices_.of(t->service);
-  const int row = choice ? choices_.row(*choice, *t->channel) : -1;
+  ServiceBalancers::ServiceBalancer* choice = balancers_.of(t->service);
+  const int row = choice ? balancers_.row(*choice, *t->channel) : -1;
   if (row < 0 || !choice->desk) {
     ++counts_.refused;
     co_return own(503, "no server of the service is known", unready_back);
@@ -324,10 +326,10 @@
       asio::co_spawn(io_, probe(desk, server), node::log_failure);
     });
   }
-  t->parcel = std::make_shared<Parcel>();
-  t->parcel->id = id;
-  t->parcel->method = m.method();
-  t->parcel->target = m.target();
+  t->request = std::make_shared<OutgoingRequest>();
+  t->request->id = id;
+  t->request->method = m.method();
+  t->request->target = m.target();
   const std::string_view listed = m.header("Connection");
   for (std::size_t i = 0; i < m.headers(); ++i) {
     const auto [name, value] = m.header(i);
@@ -337,9 +339,9 @@
     t->common += fmt::format("{}: {}\r\n", name, codec::trim(value));
   }
   t->common += fmt::format("X-Caller-Service: {}\r\n", settings_.target);
-  t->parcel->source = source;
-  if (!source && m.has_body()) t->parcel->body = std::make_shared<const std::string>(m.body());
-  account_.taken(steady_now(), t->service);
+  t->request->source = source;
+  if (!source && m.has_body()) t->request->body = std::make_shared<const std::string>(m.body());
+  retry_budget_.taken(steady_now(), t->service);
   ++counts_.taken;
   limits::Taken taken;
   taken.allowed.two_at_once = false;
@@ -352,12 +354,13 @@
   co_return co_await run(c, t, gone);
 }
 
-awaitable<Carry::Answer> Carry::run(std::shared_ptr<Connection> c, trip t, bool& gone) {
+awaitable<OutboundProxy::Answer> OutboundProxy::run(std::shared_ptr<Connection> c, client_request t,
+                                                    bool& gone) {
   t->left = [&gone, t = t.get()] {
     gone = true;
     t->desk->leave(t->visit);
   };
-  const Watch watch(c, t->parcel->source, t->left);
+  const DisconnectWatch watch(c, t->request->source, t->left);
   // What has not been offered to any server within a quarter of its aim is not held further.
   const auto held_out = std::make_shared<bool>(false);
   asio::steady_timer patience(io_, std::chrono::microseconds(t->channel->aim / 4));
@@ -370,7 +373,7 @@
     node::Order order = co_await t->desk->pick(t->visit);
     switch (order.next) {
       case node::Order::what::post:
-        t->out[order.posting] = std::make_shared<Errand>();
+        t->out[order.posting] = std::make_shared<InFlightRequest>();
         asio::co_spawn(io_, post(t, order), node::log_failure);
         break;
       case node::Order::what::withdraw:
@@ -388,7 +391,7 @@
                                *held_out ? "held out"
                                : gone    ? "caller gone"
                                          : node::cause_names[std::size_t(order.why)])];
-        for (auto& [n, errand] : t->out) errand->call_off();
+        for (auto& [n, in_flight] : t->out) in_flight->call_off();
         if (*held_out) {
           ++counts_.refused;
           co_return own(503, "no server can take it now",
@@ -411,34 +414,34 @@
   }
 }
 
-awaitable<void> Carry::post(trip t, node::Order order) {
-  const auto errand = t->out[order.posting];
+awaitable<void> OutboundProxy::post(client_request t, node::Order order) {
+  const auto in_flight = t->out[order.posting];
   // Nothing is sent for a caller that has its answer (held out: a promise), however this coroutine comes to
   // begin.
   if (t->visit->over()) {
     t->desk->report(t->visit, order.posting, ending::moot, 0, nullptr);
     co_return;
   }
-  const auto& source = t->parcel->source;
+  const auto& source = t->request->source;
   const bool repeat = t->arrivals > 0;  // it would be a further arrival
-  if (repeat && !account_.spend(steady_now(), t->service)) {
+  if (repeat && !retry_budget_.spend(steady_now(), t->service)) {
     t->desk->no_further(t->visit);
     t->desk->report(t->visit, order.posting, ending::moot, 0, nullptr);
     co_return;
   }
   const micros begun = clock_.now(), left = t->visit->expiry - begun;
-  auto parcel = std::make_shared<Parcel>(*t->parcel);
-  const gate::Gate::Asked asked{t->channel->deadline, std::max<micros>(0, t->aim_at - begun), left,
-                                source != nullptr,
-                                source ? double(source->from->in.told().value_or(Source::kept)) : 0};
-  parcel->headers =
+  auto request = std::make_shared<OutgoingRequest>(*t->request);
+  const admission::AdmissionController::Asked asked{
+      t->channel->deadline, std::max<micros>(0, t->aim_at - begun), left, source != nullptr,
+      source ? double(source->from->in.told().value_or(Source::kept)) : 0};
+  request->headers =
       fmt::format("{}X-Remaining-Ms: {}\r\n{}: {}\r\n{}: {}\r\n{}: {}\r\n", t->common,
                   std::max<micros>(1, (left - closing_margin) / 1000), instance_header, order.server,
                   deadline_header, asked.deadline / 1000, aim_header, asked.to_aim / 1000);
   ++t->offered;
   if (repeat) ++counts_.further;
   auto result = std::make_shared<Result>(
-      co_await forward(errand, parcel, order.server, asked, clock_.at(t->visit->expiry)));
+      co_await forward(in_flight, request, order.server, asked, clock_.at(t->visit->expiry)));
   const micros lag = source ? result->fate.lag : clock_.now() - begun;
   // Who broke off is the caller: that tells nothing of the server, and it may be answered nothing any more.
   if (source && source->failed && !t->visit->over()) t->left();
@@ -464,7 +467,7 @@
     case outcome::unknown:
       ++t->arrivals;
       t->may_have_run = true;
-      how = errand->off ? ending::withdrawn : result->why == "late" ? ending::timed_out : ending::reset;
+      how = in_flight->off ? ending::withdrawn : result->why == "late" ? ending::timed_out : ending::reset;
       break;
   }
   static constexpr const char* words[] = {"answered", "held", "refused", "unknown"};
@@ -474,27 +477,31 @@
   t->done[order.posting] = result;
   const bool again = how != ending::settled && !t->visit->over();
   if (again && t->arrivals >= t->channel->tries) t->desk->no_further(t->visit);
-  if (again && t->arrivals > 0 && !account_.spares(steady_now(), t->service)) t->desk->no_further(t->visit);
+  if (again && t->arrivals > 0 && !retry_budget_.spares(steady_now(), t->service))
+    t->desk->no_further(t->visit);
   t->desk->report(t->visit, order.posting, how, std::max<micros>(1, lag), nullptr);
 }
 
-awaitable<Result> Carry::forward(std::shared_ptr<Errand> errand, std::shared_ptr<const Parcel> parcel,
-                                 std::string server, gate::Gate::Asked asked, steady::time_point until) {
-  const rumour::Machine machine = choices_.machine(server);
-  if (machine == self_) co_return co_await hand_.take(errand, parcel, std::move(server), asked, until);
+awaitable<Result> OutboundProxy::forward(std::shared_ptr<InFlightRequest> in_flight,
+                                         std::shared_ptr<const OutgoingRequest> request, std::string server,
+                                         admission::AdmissionController::Asked asked,
+                                         steady::time_point until) {
+  const gossip::Machine machine = balancers_.machine(server);
+  if (machine == self_)
+    co_return co_await inbound_proxy_.take(in_flight, request, std::move(server), asked, until);
   Result r;
   if (machine == 0) {
     r.how = outcome::held;
-    r.why = gate::names[std::size_t(gate::held::no_server)];
+    r.why = admission::names[std::size_t(admission::held::no_server)];
     co_return r;
   }
-  r.fate = co_await way(machine).carry(errand, parcel, until);
-  const Fate& f = r.fate;
+  r.fate = co_await way(machine).carry(in_flight, request, until);
+  const UpstreamResult& f = r.fate;
   if (f.how_far < came::written) {
     r.how = outcome::held;
     r.why = "unreachable";
-    if (parcel->source && parcel->source->failed) co_return r;
-    if (const auto w = ways_.find(machine); w != ways_.end()) w->second->forget();
+    if (request->source && request->source->failed) co_return r;
+    if (const auto w = upstreams_.find(machine); w != upstreams_.end()) w->second->forget();
   } else if (f.how_far == came::answered) {
     if (const auto why = f.header(held_header); !why.empty())
       r.how = outcome::held, r.why = why;
@@ -510,7 +517,7 @@
 
 namespace {
 
-gate::Gate::Asked asked_by(const codec::Message& m) {
+admission::AdmissionController::Asked asked_by(const codec::Message& m) {
   const auto told = [&](std::string_view name) {
     return std::max<long long>(0, codec::whole_number(m.header(name))) * 1000;
   };
@@ -521,14 +528,15 @@
 
 }  // namespace
 
-awaitable<codec::reading> Carry::read_inner(Connection& c, asio::error_code& error, gate::held& held) {
+awaitable<codec::reading> OutboundProxy::read_inner(Connection& c, asio::error_code& error,
+                                                    admission::held& held) {
   std::uint64_t counted = 0;
   for (codec::reading got = codec::reading::unfinished;;) {
     got = co_await c.more(error);
     if (error || got != codec::reading::unfinished) co_return got;
     if (c.in.wants_word()) {
-      held = hand_.verdict(std::string(c.in.header(instance_header)), asked_by(c.in));
-      if (held != gate::held::none) co_return codec::reading::unfinished;
+      held = inbound_proxy_.verdict(std::string(c.in.header(instance_header)), asked_by(c.in));
+      if (held != admission::held::none) co_return codec::reading::unfinished;
       std::size_t written = 0;
       error = co_await c.write(go_on, {}, written);
       if (error) co_return codec::reading::unfinished;
@@ -539,20 +547,20 @@
 }
 
 // Another node's request: what it wants is known by its headers, and how far it came goes back by ours.
-awaitable<void> Carry::serve_inner(std::shared_ptr<Connection> c) {
+awaitable<void> OutboundProxy::serve_inner(std::shared_ptr<Connection> c) {
   for (;;) {
     c->limit(steady::now() + 60s);
     asio::error_code error;
-    gate::held early = gate::held::none;
+    admission::held early = admission::held::none;
     const codec::reading got =
         c->in.whole() ? codec::reading::complete : co_await read_inner(*c, error, early);
     if (error) co_return;
-    if (early != gate::held::none) {
+    if (early != admission::held::none) {
       std::size_t written = 0;
       co_await c->write(
           fmt::format("HTTP/1.1 503 Held\r\n{}: {}\r\nX-Attempt-Id: {}\r\nConnection: "
                       "close\r\nContent-Length: 0\r\n\r\n",
-                      held_header, gate::names[std::size_t(early)], c->in.header("X-Attempt-Id")),
+                      held_header, admission::names[std::size_t(early)], c->in.header("X-Attempt-Id")),
           {}, written);
       co_return;
     }
@@ -560,52 +568,52 @@
     if (got != codec::reading::complete && !source) co_return;
     c->no_limit();
     const codec::Message& m = c->in;
-    auto parcel = std::make_shared<Parcel>();
-    parcel->id = m.header("X-Attempt-Id");
-    parcel->method = m.method();
-    parcel->target = m.target();
+    auto request = std::make_shared<OutgoingRequest>();
+    request->id = m.header("X-Attempt-Id");
+    request->method = m.method();
+    request->target = m.target();
     std::string instance(m.header(instance_header));
     const bool probes = !m.header("X-Mesh-Probe").empty();
     const micros told = std::max<long long>(0, codec::whole_number(m.header("X-Remaining-Ms"))) * 1000;
     const micros left = std::max<micros>(0, told - (clock_.now() - clock_.of(c->message_arrived())));
-    const gate::Gate::Asked asked = asked_by(m);
+    const admission::AdmissionController::Asked asked = asked_by(m);
     const std::string_view listed = m.header("Connection");
     for (std::size_t i = 0; i < m.headers(); ++i) {
       const auto [name, value] = m.header(i);
       if (!of_connection(name, listed) && !of_mesh(name))
-        parcel->headers += fmt::format("{}: {}\r\n", name, codec::trim(value));
+        request->headers += fmt::format("{}: {}\r\n", name, codec::trim(value));
     }
-    parcel->source = source;
+    request->source = source;
     if (!source && m.has_body())
-      parcel->body = std::make_shared<const std::string>(m.body()), inner_bytes_ += m.body().size();
+      request->body = std::make_shared<const std::string>(m.body()), inner_bytes_ += m.body().size();
     Answer a;
     bool gone = false;
     const ScopedCount pending(pending_, 1);
     if (probes) {
-      const auto f = co_await hand_.probe(instance, probe_limit);
+      const auto f = co_await inbound_proxy_.probe(instance, probe_limit);
       a.status = f && f->how_far == came::answered ? f->status : 503;
-      a.headers = fmt::format("X-Attempt-Id: {}\r\n", parcel->id);
+      a.headers = fmt::format("X-Attempt-Id: {}\r\n", request->id);
     } else {
-      const auto errand = std::make_shared<Errand>();
+      const auto in_flight = std::make_shared<InFlightRequest>();
       Result r;
       {
-        const Watch watch(c, source, [&gone, errand] {
+        const DisconnectWatch watch(c, source, [&gone, in_flight] {
           gone = true;
-          errand->call_off();
+          in_flight->call_off();
         });
-        r = co_await hand_.take(errand, parcel, std::move(instance), asked,
-                                steady::now() + std::chrono::microseconds(left + closing_margin));
+        r = co_await inbound_proxy_.take(in_flight, request, std::move(instance), asked,
+                                         steady::now() + std::chrono::microseconds(left + closing_margin));
       }
       if (r.how == outcome::answered || r.how == outcome::refused) {
         a = passed_on(r.fate);
         if (r.fate.header("X-Attempt-Id").empty())
           a.headers +=
-              fmt::format("X-Attempt-Id: {}\r\n", parcel->id);  // between nodes each answer has its name
+              fmt::format("X-Attempt-Id: {}\r\n", request->id);  // between nodes each answer has its name
       } else {
         a.status = r.how == outcome::held ? 503 : 502;
         a.headers =
             fmt::format("{}: {}\r\nX-Attempt-Id: {}\r\n", r.how == outcome::held ? held_header : broke_header,
-                        r.why.empty() ? "broken" : r.why, parcel->id);
+                        r.why.empty() ? "broken" : r.why, request->id);
       }
     }
     if (source) inner_bytes_ += c->in.came();
@@ -614,7 +622,7 @@
     const bool stays = !rest && c->in.keep_alive() && !ending_;
     c->limit(steady::now() + write_limit);
     const std::string head =
-        fmt::format("HTTP/1.1 {} {}\r\n{}Content-Length: {}\r\n{}\r\n", a.status, port::phrase(a.status),
+        fmt::format("HTTP/1.1 {} {}\r\n{}Content-Length: {}\r\n{}\r\n", a.status, rpc::phrase(a.status),
                     a.headers, a.body.size(), stays ? "" : "Connection: close\r\n");
     std::size_t written = 0;
     error = co_await c->write(head, a.body, written);
@@ -625,26 +633,26 @@
   }
 }
 
-awaitable<void> Carry::probe(node::Desk* desk, std::string server) {
+awaitable<void> OutboundProxy::probe(node::Desk* desk, std::string server) {
   ++counts_.probes;
-  const rumour::Machine machine = choices_.machine(server);
+  const gossip::Machine machine = balancers_.machine(server);
   const auto begun = clock_.now();
   bool good = false;
   if (machine == self_) {
-    const auto f = co_await hand_.probe(server, probe_limit);
+    const auto f = co_await inbound_proxy_.probe(server, probe_limit);
     good = f && f->how_far == came::answered && f->status == 200;
   } else if (machine != 0) {
-    auto parcel = std::make_shared<Parcel>();
-    parcel->method = "GET";
-    parcel->target = "/";
-    parcel->id = fmt::format("probe-{}", ++number_);
-    parcel->headers = fmt::format("Host: mesh\r\nX-Mesh-Probe: 1\r\nX-Attempt-Id: {}\r\n{}: {}\r\n",
-                                  parcel->id, instance_header, server);
-    const Fate f =
-        co_await way(machine).carry(std::make_shared<Errand>(), parcel, steady::now() + probe_limit);
+    auto request = std::make_shared<OutgoingRequest>();
+    request->method = "GET";
+    request->target = "/";
+    request->id = fmt::format("probe-{}", ++number_);
+    request->headers = fmt::format("Host: mesh\r\nX-Mesh-Probe: 1\r\nX-Attempt-Id: {}\r\n{}: {}\r\n",
+                                   request->id, instance_header, server);
+    const UpstreamResult f = co_await way(machine).carry(std::make_shared<InFlightRequest>(), request,
+                                                         steady::now() + probe_limit);
     good = f.how_far == came::answered && f.status == 200;
   }
   desk->probed(server, good, std::max<micros>(1, clock_.now() - begun));
 }
 
-}  // namespace robinpin::ambit
+}  // namespace robinpin::sidecar
--- a/src/ambit/carry.h
+++ b/src/sidecar/outbound_proxy.h
@@ -10,29 +10,29 @@
 #include <random>
 #include <string>
 
-#include "../creed/plan.h"
-#include "../ground/settings.h"
-#include "account.h"
-#include "choices.h"
-#include "hand.h"
-#include "way.h"
+#include "../bootstrap/settings.h"
+#include "../configuration/route_table.h"
+#include "inbound_proxy.h"
+#include "retry_budget.h"
+#include "service_balancers.h"
+#include "upstream_pool.h"
 
-namespace robinpin::ambit {
+namespace robinpin::sidecar {
 
-class Carry {
+class OutboundProxy {
  public:
-  Carry(asio::io_context& io, const node::Clock& clock, Sockets& sockets, const ground::Settings& settings,
-        Hand& hand, std::uint32_t seed);
+  OutboundProxy(asio::io_context& io, const node::Clock& clock, Sockets& sockets,
+                const bootstrap::Settings& settings, InboundProxy& hand, std::uint32_t seed);
 
-  void plan(std::shared_ptr<const creed::Plan> plan);
-  void servers(const rumour::Roll& roll, std::int64_t now);
-  void ready(bool is) { ready_ = is, hand_.ready(is); }
+  void plan(std::shared_ptr<const configuration::RouteTable> plan);
+  void servers(const gossip::MembershipTable& roll, std::int64_t now);
+  void ready(bool is) { ready_ = is, inbound_proxy_.ready(is); }
   // From now on every answer is the last on its connection, and idle ones are closed after a while. What
   // comes from `refuses_from` on (microseconds of the node's clock) is not taken: it would be given up at the
   // end, with its server at work.
   void ends(micros refuses_from);
   // What is still at work gets its answer by then.
-  void end_by(micros at) { choices_.end_by(at); }
+  void end_by(micros at) { balancers_.end_by(at); }
   // Requests of which bytes have come and whose answer is not written whole yet.
   std::size_t pending() const { return *pending_; }
   std::size_t most_held() const { return most_held_; }  // bytes of callers' bodies at once, so far
@@ -51,11 +51,11 @@
   const std::map<std::string, std::uint64_t>& endings() const { return endings_; }
 
  private:
-  struct Trip {                      // one request on its way
-    std::shared_ptr<Parcel> parcel;  // without the headers of one try
-    std::string common;              // headers of every try
-    const creed::Channel* channel = nullptr;
-    std::shared_ptr<const creed::Plan> plan;  // keeps the channel
+  struct ClientRequest {                       // one request on its way
+    std::shared_ptr<OutgoingRequest> request;  // without the headers of one try
+    std::string common;                        // headers of every try
+    const configuration::Route* channel = nullptr;
+    std::shared_ptr<const configuration::RouteTable> plan;  // keeps the channel
     std::string service;
     std::function<void()> left;  // the caller has gone away
     node::Desk* desk = nullptr;
@@ -64,10 +64,10 @@
     int offered = 0, arrivals = 0;  // forwarded; that reached a server
     bool may_have_run = false;
     std::shared_ptr<Result> last;  // what a server answered last, if not good
-    std::map<int, std::shared_ptr<Errand>> out;
+    std::map<int, std::shared_ptr<InFlightRequest>> out;
     std::map<int, std::shared_ptr<Result>> done;
   };
-  using trip = std::shared_ptr<Trip>;
+  using client_request = std::shared_ptr<ClientRequest>;
 
   struct Answer {
     int status = 503;
@@ -75,30 +75,31 @@
   };
 
   awaitable<Answer> answer_to(std::shared_ptr<Connection> c, std::shared_ptr<Source> source, bool& gone);
-  awaitable<Answer> run(std::shared_ptr<Connection> c, trip t, bool& gone);
-  awaitable<void> post(trip t, node::Order order);
-  awaitable<Result> forward(std::shared_ptr<Errand> errand, std::shared_ptr<const Parcel> parcel,
-                            std::string server, gate::Gate::Asked asked, steady::time_point until);
+  awaitable<Answer> run(std::shared_ptr<Connection> c, client_request t, bool& gone);
+  awaitable<void> post(client_request t, node::Order order);
+  awaitable<Result> forward(std::shared_ptr<InFlightRequest> in_flight,
+                            std::shared_ptr<const OutgoingRequest> request, std::string server,
+                            admission::AdmissionController::Asked asked, steady::time_point until);
   // Reads another node's request; before a long body the gate is asked, and what it holds back is not sent at
   // all. A body of more than `Source::handed` is left to be read on.
-  awaitable<codec::reading> read_inner(Connection& c, asio::error_code& error, gate::held& held);
+  awaitable<codec::reading> read_inner(Connection& c, asio::error_code& error, admission::held& held);
   awaitable<void> probe(node::Desk* desk, std::string server);
   Answer own(int status, std::string_view fault, micros come_back = 0);
-  static Answer passed_on(const Fate& f);
-  Answer passed_on(const Fate& f, const Trip& t);
-  Way& way(rumour::Machine m);
+  static Answer passed_on(const UpstreamResult& f);
+  Answer passed_on(const UpstreamResult& f, const ClientRequest& t);
+  UpstreamPool& way(gossip::Machine m);
   void extend_idle();
 
   asio::io_context& io_;
   const node::Clock& clock_;
   Sockets& sockets_;
-  const ground::Settings& settings_;
-  Hand& hand_;
+  const bootstrap::Settings& settings_;
+  InboundProxy& inbound_proxy_;
   node::Counters desk_counts_;
-  Choices choices_;
-  Account account_;
-  std::shared_ptr<const creed::Plan> plan_;
-  std::map<rumour::Machine, std::unique_ptr<Way>> ways_;
+  ServiceBalancers balancers_;
+  RetryBudget retry_budget_;
+  std::shared_ptr<const configuration::RouteTable> plan_;
+  std::map<gossip::Machine, std::unique_ptr<UpstreamPool>> upstreams_;
   std::map<const node::Desk*, bool> probing_;
   std::list<std::weak_ptr<Connection>> callers_;
   const std::size_t most_bodies_;
@@ -107,7 +108,7 @@
   std::size_t most_held_ = 0;
   std::mt19937 chance_;
   std::uint64_t number_ = 0;
-  rumour::Machine self_ = 0;
+  gossip::Machine self_ = 0;
   bool ready_ = false, ending_ = false;
   micros refuses_from_ = std::numeric_limits<micros>::max();
   std::shared_ptr<std::size_t> pending_ = std::make_shared<std::size_t>(0);
@@ -116,4 +117,4 @@
   std::map<std::string, std::uint64_t> endings_;  // a few dozen names at the most
 };
 
-}  // namespace robinpin::ambit
+}  // namespace robinpin::sidecar
--- a/src/ambit/account.h
+++ b/src/sidecar/retry_budget.h
@@ -9,9 +9,9 @@
 
 #include "robinpin/choice.h"
 
-namespace robinpin::ambit {
+namespace robinpin::sidecar {
 
-class Account {
+class RetryBudget {
  public:
   // What a repeat calls in turn is charged to it: so many arrivals each, at the most seen to be made.
   static constexpr double weight = 2;
@@ -20,8 +20,8 @@
   static constexpr double longer = 1.1;
 
   void bounds(std::int64_t window, double ratio, double slack, std::size_t nodes) {
-    // What was counted in slots of another width can't be held against this window: as at a new life of the
-    // process.
+    // What was counted in slots of another width can't be held against this window: as at a new incarnation
+    // of the process.
     if (limits_.resend_span != micros(double(window) * longer)) tallies_.clear();
     limits_.resend_span = micros(double(window) * longer);
     limits_.extra_share = ratio / weight / longer;
@@ -44,4 +44,4 @@
   std::map<std::string, Tally> tallies_;  // one a service
 };
 
-}  // namespace robinpin::ambit
+}  // namespace robinpin::sidecar
--- a/src/ambit/choices.cpp
+++ b/src/sidecar/service_balancers.cpp
@@ -1,8 +1,8 @@
-#include "choices.h"
+#include "service_balancers.h"
 
 #include <set>
 
-namespace robinpin::ambit {
+namespace robinpin::sidecar {
 
 namespace {
 constexpr double slots_of_size_one = 2;  // the module takes a server of size one to work on so many at once
@@ -13,22 +13,22 @@
 // one site and cheap on another, and tell processes nothing of it.
 constexpr double crossing = 0.1;
 
-std::tuple<int, micros, micros> key_of(const creed::Channel& c) {
-  return {c.kind == creed::mode::idempotent ? 0 : 1, c.aim, c.deadline};
+std::tuple<int, micros, micros> key_of(const configuration::Route& c) {
+  return {c.kind == configuration::mode::idempotent ? 0 : 1, c.aim, c.deadline};
 }
 }  // namespace
 
-Choices::Choice* Choices::of(const std::string& service) {
-  const auto it = choices_.find(service);
-  return it == choices_.end() ? nullptr : &it->second;
+ServiceBalancers::ServiceBalancer* ServiceBalancers::of(const std::string& service) {
+  const auto it = balancers_.find(service);
+  return it == balancers_.end() ? nullptr : &it->second;
 }
 
-int Choices::row(Choice& c, const creed::Channel& channel) const {
+int ServiceBalancers::row(ServiceBalancer& c, const configuration::Route& channel) const {
   const auto it = c.rows.find(key_of(channel));
   return it == c.rows.end() ? -1 : it->second;
 }
 
-Terms Choices::terms_of(const Choice& c) const {
+Terms ServiceBalancers::terms_of(const ServiceBalancer& c) const {
   Terms t;
   t.schemes = c.schemes;
   t.zone = settings_.zone;
@@ -46,15 +46,16 @@
 }
 
 // A desk is made for each service that a route names, and its terms follow the routes.
-void Choices::plan(const creed::Plan& plan) {
+void ServiceBalancers::plan(const configuration::RouteTable& plan) {
   std::set<std::string> touched;
   for (const auto& [host, channels] : plan.hosts)
     for (const auto& [prefix, channel] : channels)
-      for (const creed::Share& s : channel->shares) {
-        Choice& c = choices_[s.service];
+      for (const configuration::WeightedTarget& s : channel->shares) {
+        ServiceBalancer& c = balancers_[s.service];
         if (c.rows.emplace(key_of(*channel), int(c.schemes.size())).second) {
           scheme_row row;
-          row.kind = channel->kind == creed::mode::idempotent ? repeats::repeatable : repeats::once_only;
+          row.kind =
+              channel->kind == configuration::mode::idempotent ? repeats::repeatable : repeats::once_only;
           row.sla = std::max<micros>(1, channel->aim);
           row.expiry = std::max<micros>(1, channel->deadline);
           row.revenue = 1;
@@ -63,7 +64,7 @@
           touched.insert(s.service);
         }
       }
-  for (auto& [name, c] : choices_) {
+  for (auto& [name, c] : balancers_) {
     if (c.desk && !touched.contains(name) && c.nodes == nodes_) continue;
     Terms t = terms_of(c);
     c.nodes = nodes_;
@@ -76,14 +77,15 @@
   }
 }
 
-void Choices::servers(const rumour::Roll& roll, const creed::Plan& plan, std::int64_t now) {
+void ServiceBalancers::servers(const gossip::MembershipTable& roll, const configuration::RouteTable& plan,
+                               std::int64_t now) {
   machines_.clear();
   std::map<std::string, std::vector<Line>> lines;
   std::size_t nodes = 0;
   for (const auto& [machine, entry] : roll.entries()) {
-    const rumour::Record& r = entry.record;
-    if (!r.core && !r.leaving && !r.lapsed) ++nodes;
-    if (r.server.empty() || r.lapsed || r.leaving || r.draining || plan.emptied.contains(r.zone)) continue;
+    const gossip::MemberRecord& r = entry.record;
+    if (!r.core && !r.leaving && !r.expired) ++nodes;
+    if (r.server.empty() || r.expired || r.leaving || r.draining || plan.emptied.contains(r.zone)) continue;
     machines_[r.server] = machine;
     Line line;
     line.server = r.server;
@@ -92,9 +94,9 @@
     const auto service = plan.services.find(r.service);
     // While cold it counts for what it bears; how many it gets a second its own gate sees to, which knows all
     // senders.
-    const auto choice = choices_.find(r.service);
+    const auto choice = balancers_.find(r.service);
     if (micros(r.cold_ms) * 1000 > now - entry.heard && service != plan.services.end() &&
-        choice != choices_.end()) {
+        choice != balancers_.end()) {
       micros aim = 0;
       for (const scheme_row& row : choice->second.schemes) aim = std::max(aim, row.sla);
       const double bears = service->second.warmup_per_s * double(aim) / usual_part / 1e6;  // at once
@@ -103,16 +105,16 @@
     lines[r.service].push_back(std::move(line));
   }
   nodes_ = std::max<std::size_t>(1, nodes);
-  for (auto& [name, c] : choices_) {
+  for (auto& [name, c] : balancers_) {
     const auto& told = lines[name];
     c.servers = told.size();
     if (c.desk) c.desk->list_told(told, true, true);
   }
 }
 
-rumour::Machine Choices::machine(const std::string& server) const {
+gossip::Machine ServiceBalancers::machine(const std::string& server) const {
   const auto it = machines_.find(server);
   return it == machines_.end() ? 0 : it->second;
 }
 
-}  // namespace robinpin::ambit
+}  // namespace robinpin::sidecar
--- a/src/ambit/choices.h
+++ b/src/sidecar/service_balancers.h
@@ -8,20 +8,20 @@
 #include <tuple>
 #include <vector>
 
-#include "../creed/plan.h"
-#include "../ground/settings.h"
+#include "../bootstrap/settings.h"
+#include "../configuration/route_table.h"
+#include "../gossip/membership_table.h"
 #include "../node/desk.h"
-#include "../rumour/roll.h"
 
-namespace robinpin::ambit {
+namespace robinpin::sidecar {
 
-class Choices {
+class ServiceBalancers {
  public:
-  Choices(asio::io_context& io, const node::Clock& clock, node::Counters& counters,
-          const ground::Settings& settings, std::uint32_t seed)
+  ServiceBalancers(asio::io_context& io, const node::Clock& clock, node::Counters& counters,
+                   const bootstrap::Settings& settings, std::uint32_t seed)
       : io_(io), clock_(clock), counters_(counters), settings_(settings), seed_(seed) {}
 
-  struct Choice {
+  struct ServiceBalancer {
     std::unique_ptr<node::Desk> desk;
     std::map<std::tuple<int, micros, micros>, int>
         rows;  // by mode, aim and deadline: their number only grows
@@ -31,28 +31,28 @@
   };
 
   // Null for a service that no route goes to.
-  Choice* of(const std::string& service);
-  int row(Choice& c, const creed::Channel& channel) const;
-  void plan(const creed::Plan& plan);
-  void servers(const rumour::Roll& roll, const creed::Plan& plan, std::int64_t now);
+  ServiceBalancer* of(const std::string& service);
+  int row(ServiceBalancer& c, const configuration::Route& channel) const;
+  void plan(const configuration::RouteTable& plan);
+  void servers(const gossip::MembershipTable& roll, const configuration::RouteTable& plan, std::int64_t now);
   // Where a server is; 0: not known.
-  rumour::Machine machine(const std::string& server) const;
+  gossip::Machine machine(const std::string& server) const;
   void end_by(micros at) {
-    for (auto& [name, c] : choices_)
+    for (auto& [name, c] : balancers_)
       if (c.desk) c.desk->end_by(at);
   }
   std::size_t nodes() const { return nodes_; }
 
  private:
-  Terms terms_of(const Choice& c) const;
+  Terms terms_of(const ServiceBalancer& c) const;
   asio::io_context& io_;
   const node::Clock& clock_;
   node::Counters& counters_;
-  const ground::Settings& settings_;
+  const bootstrap::Settings& settings_;
   std::uint32_t seed_;
-  std::map<std::string, Choice> choices_;            // by service
-  std::map<std::string, rumour::Machine> machines_;  // by server
+  std::map<std::string, ServiceBalancer> balancers_;  // by service
+  std::map<std::string, gossip::Machine> machines_;   // by server
   std::size_t nodes_ = 1;
 };
 
-}  // namespace robinpin::ambit
+}  // namespace robinpin::sidecar
--- a/src/ambit/way.cpp
+++ b/src/sidecar/upstream_pool.cpp
@@ -1,4 +1,4 @@
-#include "way.h"
+#include "upstream_pool.h"
 
 #include <fmt/format.h>
 #include <netinet/tcp.h>
@@ -7,7 +7,7 @@
 #include <algorithm>
 #include <array>
 
-namespace robinpin::ambit {
+namespace robinpin::sidecar {
 
 namespace {
 using namespace std::chrono_literals;
@@ -18,9 +18,9 @@
 }  // namespace
 
 bool of_connection(std::string_view name, std::string_view listed) {
-  static constexpr std::array own = {"Connection", "Keep-Alive", "Proxy-Connection",  "TE",
-                                     "Trailer",    "Upgrade",    "Transfer-Encoding", "Content-Length",
-                                     "Expect"};
+  static constexpr std::array own = {
+      "Connection", "ReplicatedState-Alive", "Proxy-Connection", "TE",    "Trailer",
+      "Upgrade",    "Transfer-Encoding",     "Content-Length",   "Expect"};
   if (std::any_of(own.begin(), own.end(), [&](const char* o) { return codec::same_name(o, name); }))
     return true;
   while (!listed.empty()) {
@@ -47,16 +47,16 @@
   return begins_another(m.reason());
 }
 
-std::string_view Fate::header(std::string_view name) const {
+std::string_view UpstreamResult::header(std::string_view name) const {
   for (const auto& [n, v] : headers)
     if (codec::same_name(n, name)) return v;
   return {};
 }
 
-Way::Lane Way::kept(std::uint32_t id) {
+UpstreamPool::PooledConnection UpstreamPool::kept(std::uint32_t id) {
   for (std::size_t i = idle_.size(); i-- > 0;) {
     if (idle_[i].has(id)) continue;
-    Lane lane = std::move(idle_[i]);
+    PooledConnection lane = std::move(idle_[i]);
     idle_.erase(idle_.begin() + std::ptrdiff_t(i));
     if (steady::now() < lane.connection->idle_since && lane.connection->quiet())
       return lane;  // here: until when it is good
@@ -64,18 +64,19 @@
   return {};
 }
 
-void Way::forget() { idle_.clear(); }
+void UpstreamPool::forget() { idle_.clear(); }
 
-bool Way::evict() {
+bool UpstreamPool::evict() {
   if (idle_.empty()) return false;
   idle_.pop_front();
   return true;
 }
 
-void Way::sweep() {
+void UpstreamPool::sweep() {
   const auto now = steady::now();
-  std::erase_if(idle_,
-                [&](const Lane& l) { return now >= l.connection->idle_since || !l.connection->quiet(); });
+  std::erase_if(idle_, [&](const PooledConnection& l) {
+    return now >= l.connection->idle_since || !l.connection->quiet();
+  });
 }
 
 awaitable<void> read_out(Connection& c) {
@@ -87,8 +88,9 @@
   }
 }
 
-awaitable<Way::Poured> Way::pour(std::shared_ptr<Connection> to, std::shared_ptr<Errand> errand,
-                                 std::shared_ptr<Source> source, bool framed) {
+awaitable<UpstreamPool::Poured> UpstreamPool::pour(std::shared_ptr<Connection> to,
+                                                   std::shared_ptr<InFlightRequest> in_flight,
+                                                   std::shared_ptr<Source> source, bool framed) {
   Poured p;
   // Whoever has something to say before it has all is heard at once: no more is sent.
   struct Ear : std::enable_shared_from_this<Ear> {
@@ -111,7 +113,7 @@
   ear->wait();
   Connection& from = *source->from;
   source->pouring = true;
-  errand->source = source;
+  in_flight->source = source;
   for (codec::reading got = from.in.whole() ? codec::reading::complete : codec::reading::unfinished;;) {
     p.whole = got == codec::reading::complete;
     const std::string_view body = from.in.body();
@@ -122,7 +124,7 @@
     if (!p.error && !body.empty())
       p.error = co_await to->write(body, framed ? std::string_view("\r\n") : std::string_view(), written);
     if (!p.error && framed && p.whole) p.error = co_await to->write("0\r\n\r\n", {}, written);
-    if (p.error || ear->early || errand->off) {
+    if (p.error || ear->early || in_flight->off) {
       p.whole = p.whole && !p.error;
       break;
     }
@@ -137,7 +139,7 @@
     source->waited += steady::now() - since;
     from.no_limit();
     if (source->moved) source->moved(double(from.in.came() - before));
-    if (ear->early || errand->off) break;
+    if (ear->early || in_flight->off) break;
     if (error || (got != codec::reading::unfinished && got != codec::reading::complete)) {
       source->failed = true;
       break;
@@ -149,67 +151,69 @@
   asio::error_code ignored;
   if (to->open()) to->socket.cancel(ignored);
   source->pouring = false;
-  errand->source.reset();
+  in_flight->source.reset();
   source->rest.cancel();
   co_return p;
 }
 
-awaitable<Fate> Way::carry(std::shared_ptr<Errand> errand, std::shared_ptr<const Parcel> parcel,
-                           steady::time_point until) {
-  Fate f;
+awaitable<UpstreamResult> UpstreamPool::carry(std::shared_ptr<InFlightRequest> in_flight,
+                                              std::shared_ptr<const OutgoingRequest> request,
+                                              steady::time_point until) {
+  UpstreamResult f;
   const auto begun = steady::now();
   auto handed = begun;
   const auto told = [&] {
     const auto now = steady::now();
-    const auto waited = parcel->source ? parcel->source->waited : steady::duration();
+    const auto waited = request->source ? request->source->waited : steady::duration();
     f.ran_out = f.ran_out || now >= until;
     f.lag = std::chrono::duration_cast<std::chrono::microseconds>(now - begun - waited).count();
     f.served = std::chrono::duration_cast<std::chrono::microseconds>(now - handed).count();
-    errand->connection.reset();
+    in_flight->connection.reset();
     return std::move(f);
   };
-  if (errand->off) co_return told();
-  const auto known_as = std::uint32_t(std::hash<std::string>()(parcel->id));
-  Lane lane = kept(known_as);
-  errand->connection = lane.connection;
-  if (!errand->connection) {
-    lane.life = life_;
+  if (in_flight->off) co_return told();
+  const auto known_as = std::uint32_t(std::hash<std::string>()(request->id));
+  PooledConnection lane = kept(known_as);
+  in_flight->connection = lane.connection;
+  if (!in_flight->connection) {
+    lane.incarnation = incarnation_;
     if (!sockets_.make_room()) co_return told();
     ++dials;
-    errand->connection =
+    in_flight->connection =
         std::make_shared<Connection>(tcp::socket(io_), sockets_, HTTP_RESPONSE, answer_limits);
-    errand->connection->limit(std::min(until, steady::now() + manners_.dial_limit));
-    const auto failed = co_await errand->connection->connect(to_);
-    if (failed || errand->off) co_return told();
-    if (manners_.user_timeout_ms > 0) {
-      const int ms = manners_.user_timeout_ms;
-      ::setsockopt(errand->connection->socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &ms, sizeof ms);
+    in_flight->connection->limit(std::min(until, steady::now() + options_.dial_limit));
+    const auto failed = co_await in_flight->connection->connect(to_);
+    if (failed || in_flight->off) co_return told();
+    if (options_.user_timeout_ms > 0) {
+      const int ms = options_.user_timeout_ms;
+      ::setsockopt(in_flight->connection->socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &ms,
+                   sizeof ms);
     }
   }
-  const auto held = errand->connection;  // it may be let go of meanwhile
+  const auto held = in_flight->connection;  // it may be let go of meanwhile
   Connection& c = *held;
   if (!c.open() || steady::now() >= until) co_return told();
   f.how_far = came::connected;
   c.limit(until);
-  const std::string_view body = parcel->body ? std::string_view(*parcel->body) : std::string_view();
-  const std::shared_ptr<Source> source = parcel->source;
+  const std::string_view body = request->body ? std::string_view(*request->body) : std::string_view();
+  const std::shared_ptr<Source> source = request->source;
   const bool framed = source && !source->from->in.told();
-  const bool sized = source || !body.empty() || parcel->method == "POST" || parcel->method == "PUT" ||
-                     parcel->method == "PATCH";
-  const bool asks = manners_.asks_first > 0 && (source || body.size() >= manners_.asks_first);
+  const bool sized = source || !body.empty() || request->method == "POST" || request->method == "PUT" ||
+                     request->method == "PATCH";
+  const bool asks = options_.asks_first > 0 && (source || body.size() >= options_.asks_first);
   const std::string length =
       framed ? "Transfer-Encoding: chunked"
              : fmt::format("Content-Length: {}", source ? *source->from->in.told() : body.size());
   const std::string head =
-      sized ? fmt::format("{} {} HTTP/1.1\r\n{}{}{}\r\n\r\n", parcel->method, parcel->target, parcel->headers,
-                          asks ? "Expect: 100-continue\r\n" : "", length)
-            : fmt::format("{} {} HTTP/1.1\r\n{}\r\n", parcel->method, parcel->target, parcel->headers);
+      sized ? fmt::format("{} {} HTTP/1.1\r\n{}{}{}\r\n\r\n", request->method, request->target,
+                          request->headers, asks ? "Expect: 100-continue\r\n" : "", length)
+            : fmt::format("{} {} HTTP/1.1\r\n{}\r\n", request->method, request->target, request->headers);
   std::size_t written = 0;
   asio::error_code error = co_await c.write(head, asks ? std::string_view() : body, written);
   bool wanted = !asks;
   if (!error && asks) {
     const codec::reading got = co_await c.read(error);
-    if (error || errand->off || got == codec::reading::unfinished)
+    if (error || in_flight->off || got == codec::reading::unfinished)
       co_return told();  // not a byte of the body was sent
     wanted = got == codec::reading::complete && c.in.status() == 100;
     if (wanted) {
@@ -221,7 +225,7 @@
   }
   bool all = written == head.size() + body.size();
   if (source && wanted && !error) {
-    const Poured p = co_await pour(held, errand, source, framed);
+    const Poured p = co_await pour(held, in_flight, source, framed);
     all = p.whole, f.early = p.early && !p.whole;
     error = f.early ? asio::error_code() : p.error;
     wanted = !f.early;  // what its peer has not read whole leaves nothing to go on with
@@ -230,13 +234,13 @@
   if (all && wanted) {
     f.how_far = came::written;
     handed = steady::now();
-    if (errand->wrote) errand->wrote();
+    if (in_flight->wrote) in_flight->wrote();
   }
-  if (error || errand->off) co_return told();
+  if (error || in_flight->off) co_return told();
   bool nameless_refusal = false;
   for (int strangers = 0;;) {
     codec::reading got = c.in.whole() ? codec::reading::complete : co_await c.read(error);
-    if (errand->off || got == codec::reading::unfinished) co_return told();
+    if (in_flight->off || got == codec::reading::unfinished) co_return told();
     if (got != codec::reading::complete) {
       f.broken = true;
       co_return told();
@@ -247,9 +251,9 @@
     // only.
     const bool nameless = c.in.times("X-Attempt-Id") == 0;
     nameless_refusal =
-        nameless && manners_.strangers && (!c.in.header("X-Not-Executed").empty() || c.in.status() == 421);
-    const bool ours = nameless ? parcel->id.empty() || nameless_refusal
-                               : echoed == parcel->id && c.in.times("X-Attempt-Id") == 1;
+        nameless && options_.strangers && (!c.in.header("X-Not-Executed").empty() || c.in.status() == 421);
+    const bool ours = nameless ? request->id.empty() || nameless_refusal
+                               : echoed == request->id && c.in.times("X-Attempt-Id") == 1;
     if (!interim && runs_together(c.in)) {
       f.broken = true;
       co_return told();
@@ -257,7 +261,7 @@
     if (!interim && ours) break;
     // Before its body was sent whole no server has said anything of it: there is nothing to wait for.
     if (f.early && !interim) co_return told();
-    if (!interim && (!manners_.strangers || nameless || ++strangers > most_strangers)) {
+    if (!interim && (!options_.strangers || nameless || ++strangers > most_strangers)) {
       f.broken = true;
       co_return told();
     }
@@ -282,16 +286,16 @@
   f.body = c.in.body();
   // What its peer tells of how long it keeps an idle connection, less a little: none is met as it is being
   // closed.
-  auto keep = manners_.idle_limit;
-  if (const auto told_keep = c.in.header("Keep-Alive"); !told_keep.empty())
+  auto keep = options_.idle_limit;
+  if (const auto told_keep = c.in.header("ReplicatedState-Alive"); !told_keep.empty())
     if (const auto at = told_keep.find("timeout="); at != told_keep.npos) {
       const auto digits = told_keep.substr(at + 8, told_keep.find_first_of(", ;", at + 8) - (at + 8));
       if (const auto s = codec::whole_number(digits); s >= 0)
         keep = std::min<steady::duration>(keep, std::chrono::seconds(s) * 8 / 10);
     }
   // A copy of a refusal that named no request could be any request's.
-  if (wanted && !nameless_refusal && lane.life == life_ && c.in.keep_alive() && !c.in.behind() &&
-      idle_.size() < manners_.most_idle) {
+  if (wanted && !nameless_refusal && lane.incarnation == incarnation_ && c.in.keep_alive() &&
+      !c.in.behind() && idle_.size() < options_.most_idle) {
     c.in.next();
     c.no_limit();
     if (c.quiet()) {
@@ -304,4 +308,4 @@
   co_return told();
 }
 
-}  // namespace robinpin::ambit
+}  // namespace robinpin::sidecar
--- a/src/ambit/way.h
+++ b/src/sidecar/upstream_pool.h
@@ -16,7 +16,7 @@
 
 #include "../net/connection.h"
 
-namespace robinpin::ambit {
+namespace robinpin::sidecar {
 
 using asio::awaitable;
 using node::Connection;
@@ -43,7 +43,7 @@
   asio::steady_timer rest;
 };
 
-struct Parcel {  // a request as it goes on
+struct OutgoingRequest {  // a request as it goes on
   std::string id, method, target;
   std::string headers;  // each with its line end; without those that the way itself writes
   std::shared_ptr<const std::string> body;
@@ -53,7 +53,7 @@
 // Before `written` it is known not to have run: an incomplete request is never begun.
 enum class came { nowhere, connected, written, answered };
 
-struct Fate {
+struct UpstreamResult {
   came how_far = came::nowhere;
   bool ran_out = false;  // its time was over
   bool broken = false;   // an answer that is none: cut off, spoilt, another's
@@ -67,7 +67,7 @@
 };
 
 // A request under way, which may be called off.
-struct Errand {
+struct InFlightRequest {
   bool off = false;
   std::function<void()> wrote;  // told once, as the request is handed to the machine whole
   std::shared_ptr<Connection> connection;
@@ -80,7 +80,7 @@
   }
 };
 
-struct Manners {
+struct ConnectionOptions {
   steady::duration dial_limit = std::chrono::milliseconds(400);
   steady::duration idle_limit = std::chrono::seconds(25);
   std::size_t most_idle = 64;
@@ -92,16 +92,16 @@
       false;  // answers of other requests may stand before ours: read past; a refusal may name no request
 };
 
-class Way {
+class UpstreamPool {
  public:
-  Way(asio::io_context& io, Sockets& sockets, tcp::endpoint to, Manners manners)
-      : io_(io), sockets_(sockets), to_(to), manners_(manners) {}
+  UpstreamPool(asio::io_context& io, Sockets& sockets, tcp::endpoint to, ConnectionOptions manners)
+      : io_(io), sockets_(sockets), to_(to), options_(manners) {}
   // Errors are values in the fate. `until`: no byte is waited for longer.
-  awaitable<Fate> carry(std::shared_ptr<Errand> errand, std::shared_ptr<const Parcel> parcel,
-                        steady::time_point until);
-  void forget();                       // closes what is idle: the peer has failed
-  void renew() { forget(), ++life_; }  // another has the address: what is in use is not kept either
-  bool evict();                        // the longest idle; false if there is none
+  awaitable<UpstreamResult> carry(std::shared_ptr<InFlightRequest> in_flight,
+                                  std::shared_ptr<const OutgoingRequest> request, steady::time_point until);
+  void forget();                              // closes what is idle: the peer has failed
+  void renew() { forget(), ++incarnation_; }  // another has the address: what is in use is not kept either
+  bool evict();                               // the longest idle; false if there is none
   void sweep();
   const tcp::endpoint& to() const { return to_; }
   std::uint64_t dials = 0;
@@ -109,26 +109,26 @@
  private:
   // A connection and the last requests that it carried: an answer may come doubled and late, so one that is
   // sent again under its id goes over another.
-  struct Lane {
+  struct PooledConnection {
     std::shared_ptr<Connection> connection;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     std::array<std::uint32_t, 8> ids{};
     std::size_t carried = 0;
     bool has(std::uint32_t id) const { return std::find(ids.begin(), ids.end(), id) != ids.end(); }
   };
-  Lane kept(std::uint32_t id);
+  PooledConnection kept(std::uint32_t id);
   struct Poured {
     asio::error_code error;
     bool whole = false, early = false;  // early: its peer has said something before it had all
   };
-  static awaitable<Poured> pour(std::shared_ptr<Connection> to, std::shared_ptr<Errand> errand,
+  static awaitable<Poured> pour(std::shared_ptr<Connection> to, std::shared_ptr<InFlightRequest> in_flight,
                                 std::shared_ptr<Source> source, bool framed);
   asio::io_context& io_;
   Sockets& sockets_;
   tcp::endpoint to_;
-  Manners manners_;
-  std::uint64_t life_ = 0;
-  std::deque<Lane> idle_;
+  ConnectionOptions options_;
+  std::uint64_t incarnation_ = 0;
+  std::deque<PooledConnection> idle_;
 };
 
 // Reads on, and drops, what is left of a message that has its answer already: a connection closed over unread
@@ -138,4 +138,4 @@
 // Names of headers that concern one connection only.
 bool of_connection(std::string_view name, std::string_view listed);
 
-}  // namespace robinpin::ambit
+}  // namespace robinpin::sidecar
--- a/src/standin/main.cpp
+++ b/src/standin/main.cpp
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "../net/listening.h"
-#include "../port/port.h"
+#include "../rpc/server.h"
 
 namespace {
 
@@ -110,7 +110,7 @@
     s.id = fmt::format("i-{:08x}", std::random_device{}());
     node::listen_at(s.acceptor, node::endpoint_of(s.address), 128);
     asio::co_spawn(s.io,
-                   port::accept(s.acceptor, s.sockets, limits, [&](auto c) { return s.serve(std::move(c)); }),
+                   rpc::accept(s.acceptor, s.sockets, limits, [&](auto c) { return s.serve(std::move(c)); }),
                    asio::detached);
     asio::co_spawn(s.io, s.beats(), asio::detached);
     asio::signal_set signals(s.io, SIGTERM, SIGINT);
--- a/src/trove/checksum.cpp
+++ b/src/storage/checksum.cpp
@@ -2,7 +2,7 @@
 
 #include <boost/crc.hpp>
 
-namespace robinpin::trove {
+namespace robinpin::storage {
 
 std::uint32_t crc32c(std::string_view bytes) {
   boost::crc_optimal<32, 0x1EDC6F41, 0xFFFFFFFF, 0xFFFFFFFF, true, true> crc;
@@ -10,4 +10,4 @@
   return crc.checksum();
 }
 
-}  // namespace robinpin::trove
+}  // namespace robinpin::storage
--- a/src/trove/checksum.h
+++ b/src/storage/checksum.h
@@ -4,8 +4,8 @@
 #include <cstdint>
 #include <string_view>
 
-namespace robinpin::trove {
+namespace robinpin::storage {
 
 std::uint32_t crc32c(std::string_view bytes);
 
-}  // namespace robinpin::trove
+}  // namespace robinpin::storage
--- a/src/trove/durable_environment.cpp
+++ b/src/storage/durable_environment.cpp
@@ -7,7 +7,7 @@
 
 #include "file_names.h"
 
-namespace robinpin::trove {
+namespace robinpin::storage {
 
 using leveldb::Status;
 
@@ -257,4 +257,4 @@
   return Status::OK();
 }
 
-}  // namespace robinpin::trove
+}  // namespace robinpin::storage
--- a/src/trove/durable_environment.h
+++ b/src/storage/durable_environment.h
@@ -12,7 +12,7 @@
 #include "file_system.h"
 #include "integrity_check.h"
 
-namespace robinpin::trove {
+namespace robinpin::storage {
 
 // For one store in one folder. Thread-safe, since LevelDB also writes on a thread of its own. The order of
 // calls: lock_folder, recover, LevelDB's open, finish_open, writes, LevelDB's close, finish_close.
@@ -72,4 +72,4 @@
   leveldb::Status first_failure_;
 };
 
-}  // namespace robinpin::trove
+}  // namespace robinpin::storage
--- a/src/trove/error.cpp
+++ b/src/storage/error.cpp
@@ -1,6 +1,6 @@
 #include "error.h"
 
-namespace robinpin::trove {
+namespace robinpin::storage {
 
 const char* to_string(Error::Step step) {
   switch (step) {
@@ -26,4 +26,4 @@
   return "unknown";
 }
 
-}  // namespace robinpin::trove
+}  // namespace robinpin::storage
--- a/src/trove/error.h
+++ b/src/storage/error.h
@@ -4,7 +4,7 @@
 #include <boost/leaf/result.hpp>
 #include <string>
 
-namespace robinpin::trove {
+namespace robinpin::storage {
 
 // A value, or an error whose payload is an `Error`.
 template <typename T>
@@ -31,4 +31,4 @@
 // The step's name as log lines and command output show it.
 const char* to_string(Error::Step step);
 
-}  // namespace robinpin::trove
+}  // namespace robinpin::storage
--- a/src/trove/file_names.h
+++ b/src/storage/file_names.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-namespace robinpin::trove {
+namespace robinpin::storage {
 
 inline constexpr const char* current_file_name = "CURRENT";  // names the manifest in force
 inline constexpr const char* lock_file_name = "LOCK";
@@ -29,4 +29,4 @@
   return number;
 }
 
-}  // namespace robinpin::trove
+}  // namespace robinpin::storage
--- a/src/trove/file_system.cpp
+++ b/src/storage/file_system.cpp
@@ -6,7 +6,7 @@
 #include <cerrno>
 #include <cstring>
 
-namespace robinpin::trove {
+namespace robinpin::storage {
 
 using leveldb::Status;
 
@@ -49,4 +49,4 @@
   });
 }
 
-}  // namespace robinpin::trove
+}  // namespace robinpin::storage
--- a/src/trove/file_system.h
+++ b/src/storage/file_system.h
@@ -7,7 +7,7 @@
 #include <cstdint>
 #include <string>
 
-namespace robinpin::trove {
+namespace robinpin::storage {
 
 class FileSystem : public leveldb::EnvWrapper {
  public:
@@ -27,4 +27,4 @@
   static FileSystem& local();
 };
 
-}  // namespace robinpin::trove
+}  // namespace robinpin::storage
--- a/src/trove/integrity_check.cpp
+++ b/src/storage/integrity_check.cpp
@@ -9,7 +9,7 @@
 #include "file_names.h"
 #include "leveldb_log.h"
 
-namespace robinpin::trove {
+namespace robinpin::storage {
 
 namespace {
 
@@ -263,4 +263,4 @@
 
 IntegrityReport check_integrity(const std::string& folder) { return IntegrityChecker(folder).run(); }
 
-}  // namespace robinpin::trove
+}  // namespace robinpin::storage
--- a/src/trove/integrity_check.h
+++ b/src/storage/integrity_check.h
@@ -11,7 +11,7 @@
 
 #include "inventory.h"
 
-namespace robinpin::trove {
+namespace robinpin::storage {
 
 struct IntegrityFault {
   std::string file;  // its path
@@ -32,4 +32,4 @@
 
 IntegrityReport check_integrity(const std::string& folder);
 
-}  // namespace robinpin::trove
+}  // namespace robinpin::storage
--- a/src/trove/inventory.cpp
+++ b/src/storage/inventory.cpp
@@ -4,7 +4,7 @@
 
 #include "checksum.h"
 
-namespace robinpin::trove {
+namespace robinpin::storage {
 
 namespace {
 
@@ -40,4 +40,4 @@
   return inventory;
 }
 
-}  // namespace robinpin::trove
+}  // namespace robinpin::storage
--- a/src/trove/inventory.h
+++ b/src/storage/inventory.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <string_view>
 
-namespace robinpin::trove {
+namespace robinpin::storage {
 
 // Every listed file exists and is at least as long as said. Two copies are written in turn.
 struct Inventory {
@@ -34,4 +34,4 @@
 std::string encode(const Inventory& inventory);
 std::optional<Inventory> decode_inventory(std::string_view text);  // none: torn or corrupted
 
-}  // namespace robinpin::trove
+}  // namespace robinpin::storage
--- a/src/trove/key_value_store.h
+++ b/src/storage/key_value_store.h
@@ -8,7 +8,7 @@
 
 #include "error.h"
 
-namespace robinpin::trove {
+namespace robinpin::storage {
 
 // An ordered map of byte strings with atomic batches. Not thread-safe: one thread at a time uses a store.
 class KeyValueStore {
@@ -40,4 +40,4 @@
   virtual result<std::uint64_t> size_on_disk() = 0;
 };
 
-}  // namespace robinpin::trove
+}  // namespace robinpin::storage
--- a/src/trove/leveldb_errors.cpp
+++ b/src/storage/leveldb_errors.cpp
@@ -11,7 +11,7 @@
 
 #include "leveldb_options.h"
 
-namespace robinpin::trove {
+namespace robinpin::storage {
 
 namespace {
 
@@ -58,4 +58,4 @@
   return error_of(Error::Step::read, folder, status);
 }
 
-}  // namespace robinpin::trove
+}  // namespace robinpin::storage
--- a/src/trove/leveldb_errors.h
+++ b/src/storage/leveldb_errors.h
@@ -7,7 +7,7 @@
 
 #include "error.h"
 
-namespace robinpin::trove {
+namespace robinpin::storage {
 
 // Corruption is reported as Step::corruption whatever the step was.
 Error error_of(Error::Step step, const std::string& folder, const leveldb::Status& status);
@@ -15,4 +15,4 @@
 // The same for Step::read.
 Error read_error_of(const std::string& folder, const leveldb::Status& status);
 
-}  // namespace robinpin::trove
+}  // namespace robinpin::storage
--- a/src/trove/leveldb_log.cpp
+++ b/src/storage/leveldb_log.cpp
@@ -6,7 +6,7 @@
 #include "checksum.h"
 #include "little_endian.h"
 
-namespace robinpin::trove {
+namespace robinpin::storage {
 
 namespace {
 
@@ -116,4 +116,4 @@
   return latest;
 }
 
-}  // namespace robinpin::trove
+}  // namespace robinpin::storage
--- a/src/trove/leveldb_log.h
+++ b/src/storage/leveldb_log.h
@@ -9,7 +9,7 @@
 
 #include "write_sequence.h"
 
-namespace robinpin::trove {
+namespace robinpin::storage {
 
 struct LogScan {
   std::size_t valid_size = 0;               // bytes up to which complete entries stand
@@ -25,4 +25,4 @@
 // Of the intact records from `offset` on, the write sequence that knows of the latest synced write.
 std::optional<WriteSequence> latest_write_sequence_after(std::string_view log, std::size_t offset);
 
-}  // namespace robinpin::trove
+}  // namespace robinpin::storage
--- a/src/trove/leveldb_options.cpp
+++ b/src/storage/leveldb_options.cpp
@@ -2,7 +2,7 @@
 
 #include <cstdarg>
 
-namespace robinpin::trove {
+namespace robinpin::storage {
 
 namespace {
 
@@ -33,4 +33,4 @@
   return options;
 }
 
-}  // namespace robinpin::trove
+}  // namespace robinpin::storage
--- a/src/trove/leveldb_options.h
+++ b/src/storage/leveldb_options.h
@@ -6,11 +6,11 @@
 
 #include <cstddef>
 
-namespace robinpin::trove {
+namespace robinpin::storage {
 
 leveldb::Options database_options(leveldb::Env* environment, std::size_t write_buffer_size);
 
 // With checksums verified, and without the cache: each entry is read once, at the start.
 leveldb::ReadOptions read_options();
 
-}  // namespace robinpin::trove
+}  // namespace robinpin::storage
--- a/src/trove/leveldb_store.cpp
+++ b/src/storage/leveldb_store.cpp
@@ -12,7 +12,7 @@
 #include "leveldb_options.h"
 #include "write_sequence.h"
 
-namespace robinpin::trove {
+namespace robinpin::storage {
 
 namespace {
 
@@ -146,4 +146,4 @@
   return open_leveldb_store(folder, FileSystem::local());
 }
 
-}  // namespace robinpin::trove
+}  // namespace robinpin::storage
--- a/src/trove/leveldb_store.h
+++ b/src/storage/leveldb_store.h
@@ -7,7 +7,7 @@
 
 #include "key_value_store.h"
 
-namespace robinpin::trove {
+namespace robinpin::storage {
 
 class FileSystem;
 
@@ -24,4 +24,4 @@
 result<std::unique_ptr<KeyValueStore>> open_leveldb_store(
     const std::string& folder, FileSystem& files, std::size_t write_buffer_size = default_write_buffer_size);
 
-}  // namespace robinpin::trove
+}  // namespace robinpin::storage
--- a/src/trove/little_endian.h
+++ b/src/storage/little_endian.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-namespace robinpin::trove {
+namespace robinpin::storage {
 
 inline constexpr int bits_per_byte = 8;
 
@@ -25,4 +25,4 @@
   for (std::size_t i = 0; i < sizeof value; ++i) text += char(value >> (bits_per_byte * i) & 0xff);
 }
 
-}  // namespace robinpin::trove
+}  // namespace robinpin::storage
--- a/src/trove/memory_store.h
+++ b/src/storage/memory_store.h
@@ -11,7 +11,7 @@
 
 #include "key_value_store.h"
 
-namespace robinpin::trove {
+namespace robinpin::storage {
 
 class MemoryStore : public KeyValueStore {
  public:
@@ -68,4 +68,4 @@
   std::shared_ptr<Disk> disk_;
 };
 
-}  // namespace robinpin::trove
+}  // namespace robinpin::storage
--- a/src/trove/offline_reader.cpp
+++ b/src/storage/offline_reader.cpp
@@ -15,7 +15,7 @@
 #include "leveldb_options.h"
 #include "leveldb_store.h"
 
-namespace robinpin::trove {
+namespace robinpin::storage {
 
 namespace {
 
@@ -161,4 +161,4 @@
   return contents;
 }
 
-}  // namespace robinpin::trove
+}  // namespace robinpin::storage
--- a/src/trove/offline_reader.h
+++ b/src/storage/offline_reader.h
@@ -7,7 +7,7 @@
 
 #include "key_value_store.h"
 
-namespace robinpin::trove {
+namespace robinpin::storage {
 
 struct OfflineContents {
   // Of a corrupted store these are the entries that can still be read, perhaps from different times.
@@ -20,4 +20,4 @@
 // Errors: Step::open, there is no store or it is in use; Step::copy.
 result<OfflineContents> read_offline(const std::string& folder);
 
-}  // namespace robinpin::trove
+}  // namespace robinpin::storage
--- a/src/trove/write_sequence.cpp
+++ b/src/storage/write_sequence.cpp
@@ -2,7 +2,7 @@
 
 #include "little_endian.h"
 
-namespace robinpin::trove {
+namespace robinpin::storage {
 
 std::string encode(const WriteSequence& sequence) {
   std::string text;
@@ -17,4 +17,4 @@
                        read_little_endian<std::uint64_t>(text, sizeof(std::uint64_t))};
 }
 
-}  // namespace robinpin::trove
+}  // namespace robinpin::storage
--- a/src/trove/write_sequence.h
+++ b/src/storage/write_sequence.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <string_view>
 
-namespace robinpin::trove {
+namespace robinpin::storage {
 
 struct WriteSequence {
   static constexpr std::string_view key{"\0trove", 6};  // part of the format on disk
@@ -20,4 +20,4 @@
 std::string encode(const WriteSequence& sequence);
 std::optional<WriteSequence> decode_write_sequence(std::string_view text);  // none: not of encoded_size
 
-}  // namespace robinpin::trove
+}  // namespace robinpin::storage
--- a/src/span/address.cpp
+++ b/src/transport/address.cpp
@@ -2,7 +2,7 @@
 
 #include <asio/ip/address_v4.hpp>
 
-namespace robinpin::span {
+namespace robinpin::transport {
 
 std::string format_address(Machine machine) { return asio::ip::make_address_v4(machine).to_string(); }
 
@@ -13,4 +13,4 @@
   return error ? 0 : address.to_uint();
 }
 
-}  // namespace robinpin::span
+}  // namespace robinpin::transport
--- a/src/span/datagram_transport.h
+++ b/src/transport/datagram_transport.h
@@ -5,11 +5,11 @@
 #include <functional>
 #include <string_view>
 
-#include "../rumour/rumour.h"
+#include "../gossip/gossip.h"
 
-namespace robinpin::span {
+namespace robinpin::transport {
 
-using rumour::Machine;  // an IPv4 address, which identifies one process of the mesh
+using gossip::Machine;  // an IPv4 address, which identifies one process of the mesh
 
 // Called once for each datagram that arrives. The text is valid during the call only.
 using DatagramHandler = std::function<void(Machine sender, std::string_view datagram)>;
@@ -19,11 +19,11 @@
  public:
   virtual ~DatagramTransport() = default;
 
-  // Sends or loses the datagram; never waits. One that is larger than rumour::longest_datagram is dropped.
+  // Sends or loses the datagram; never waits. One that is larger than gossip::longest_datagram is dropped.
   virtual void send(Machine destination, std::string_view datagram) = 0;
 
   // Starts to receive. Called once, before the first datagram is expected.
   virtual void set_handler(DatagramHandler handler) = 0;
 };
 
-}  // namespace robinpin::span
+}  // namespace robinpin::transport
--- a/src/span/simulated_network.h
+++ b/src/transport/simulated_network.h
@@ -11,7 +11,7 @@
 
 #include "datagram_transport.h"
 
-namespace robinpin::span {
+namespace robinpin::transport {
 
 class SimulatedNetwork {
  public:
@@ -24,7 +24,8 @@
   std::int64_t min_delay = 200;    // microseconds
   std::int64_t max_delay = 3'000;  // microseconds
   std::set<Link> blocked_links;    // also for datagrams that are in flight
-  // Of each receiver's socket, as the kernel counts; 0: no bound. Its reader empties it every `read_interval`.
+  // Of each receiver's socket, as the kernel counts; 0: no bound. Its reader empties it every
+  // `read_interval`.
   std::size_t socket_buffer_bytes = 0;
   std::int64_t read_interval = 20'000;  // microseconds
 
@@ -107,7 +108,7 @@
   ~SimulatedTransport() override { network_.handlers.erase(self_); }
 
   void send(Machine destination, std::string_view datagram) override {
-    if (datagram.size() <= rumour::longest_datagram) network_.send(self_, destination, datagram);
+    if (datagram.size() <= gossip::longest_datagram) network_.send(self_, destination, datagram);
   }
   void set_handler(DatagramHandler handler) override { network_.handlers[self_] = std::move(handler); }
 
@@ -116,4 +117,4 @@
   const Machine self_;
 };
 
-}  // namespace robinpin::span
+}  // namespace robinpin::transport
--- a/src/span/udp_transport.cpp
+++ b/src/transport/udp_transport.cpp
@@ -5,7 +5,7 @@
 
 #include "address.h"
 
-namespace robinpin::span {
+namespace robinpin::transport {
 
 using asio::ip::udp;
 
@@ -19,15 +19,15 @@
 
 }  // namespace
 
-trove::result<std::unique_ptr<UdpTransport>> UdpTransport::open(asio::io_context& io, Machine self,
-                                                                std::uint16_t port) {
+storage::result<std::unique_ptr<UdpTransport>> UdpTransport::open(asio::io_context& io, Machine self,
+                                                                  std::uint16_t port) {
   std::unique_ptr<UdpTransport> transport(new UdpTransport(io, port));
   asio::error_code error;
   transport->socket_.open(udp::v4(), error);
   if (!error) transport->socket_.bind({asio::ip::make_address_v4(self), port}, error);
   if (error) {
     const std::string endpoint = format_address(self) + ":" + std::to_string(port);
-    return boost::leaf::new_error(trove::Error{trove::Error::Step::bind, endpoint, error.message()});
+    return boost::leaf::new_error(storage::Error{storage::Error::Step::bind, endpoint, error.message()});
   }
   transport->socket_.non_blocking(true);
   asio::error_code not_granted;
@@ -38,7 +38,7 @@
 
 // A full buffer or an unreachable address loses the datagram, as the network may.
 void UdpTransport::send(Machine destination, std::string_view datagram) {
-  if (datagram.size() > rumour::longest_datagram) return;
+  if (datagram.size() > gossip::longest_datagram) return;
   const udp::endpoint endpoint(asio::ip::make_address_v4(destination), port_);
   asio::error_code ignored;
   socket_.send_to(asio::buffer(datagram.data(), datagram.size()), endpoint, 0, ignored);
@@ -71,4 +71,4 @@
   }
 }
 
-}  // namespace robinpin::span
+}  // namespace robinpin::transport
--- a/src/span/udp_transport.h
+++ b/src/transport/udp_transport.h
@@ -6,17 +6,17 @@
 #include <cstdint>
 #include <memory>
 
-#include "../trove/error.h"
+#include "../storage/error.h"
 #include "datagram_transport.h"
 
-namespace robinpin::span {
+namespace robinpin::transport {
 
 class UdpTransport : public DatagramTransport {
  public:
   // Binds `port` on the address of `self`. The context outlives the transport, and its thread calls the
   // handler. Errors: Step::bind, with "address:port" as peer.
-  static trove::result<std::unique_ptr<UdpTransport>> open(asio::io_context& io, Machine self,
-                                                           std::uint16_t port);
+  static storage::result<std::unique_ptr<UdpTransport>> open(asio::io_context& io, Machine self,
+                                                             std::uint16_t port);
 
   void send(Machine destination, std::string_view datagram) override;
   void set_handler(DatagramHandler handler) override;
@@ -34,7 +34,7 @@
   asio::ip::udp::socket socket_;
   const std::uint16_t port_;
   DatagramHandler handler_;
-  std::array<char, rumour::longest_datagram + 1> buffer_{};
+  std::array<char, gossip::longest_datagram + 1> buffer_{};
 };
 
-}  // namespace robinpin::span
+}  // namespace robinpin::transport
