--- a/tests/mesh/gate_test.cpp
+++ b/tests/mesh/admission_test.cpp
@@ -3,30 +3,32 @@
 #include <random>
 #include <vector>
 
-#include "../../src/ambit/account.h"
-#include "../../src/gate/gate.h"
+#include "../../src/sidecar/retry_budget.h"
+#include "../../src/admission/admission_controller.h"
 
 #include <CppUTest/TestHarness.h>
 
 using namespace robinpin;
-using gate::Gate;
-using gate::held;
+using admission::AdmissionController;
+using admission::held;
 
 namespace {
 constexpr std::int64_t ms = 1000, second = 1'000'000;
-gate::Server server(const std::string& id, std::uint64_t sequence, bool draining = false) {
-  gate::Server s;
+admission::Server server(const std::string& id, std::uint64_t sequence, bool draining = false) {
+  admission::Server s;
   s.id = id, s.service = "one", s.slots = 4, s.sequence = sequence, s.draining = draining;
   return s;
 }
-Gate::Asked asked(std::int64_t deadline, std::int64_t to_aim) { return {deadline, to_aim, deadline}; }
-const Gate::Asked usual = asked(4 * second, 600 * ms);
+AdmissionController::Asked asked(std::int64_t deadline, std::int64_t to_aim) {
+  return {deadline, to_aim, deadline};
+}
+const AdmissionController::Asked usual = asked(4 * second, 600 * ms);
 }  // namespace
 
-TEST_GROUP(Gate){};
+TEST_GROUP(Admission){};
 
-TEST(Gate, nothing_new_passes_to_one_that_drains_also_by_a_late_beat_that_calls_it_admitted) {
-  Gate g;
+TEST(Admission, nothing_new_passes_to_one_that_drains_also_by_a_late_beat_that_calls_it_admitted) {
+  AdmissionController g;
   CHECK(held::no_server == g.verdict(0, "a", {}, usual));
   CHECK(g.beat(0, server("a", 4), 0));
   CHECK(held::none == g.verdict(1, "a", {}, usual));
@@ -37,16 +39,16 @@
   CHECK(held::draining == g.verdict(6, "a", {}, usual));
   g.departed("a");
   CHECK(held::no_server == g.verdict(7, "a", {}, usual));
-  CHECK_FALSE(g.beat(8, server("a", 8), 0));  // gone for good: only another life comes back
+  CHECK_FALSE(g.beat(8, server("a", 8), 0));  // gone for good: only another incarnation comes back
   CHECK(held::no_server == g.verdict(9, "a", {}, usual));
   CHECK(g.beat(10, server("b", 1), 0));
   CHECK(held::other_instance == g.verdict(11, "a", {}, usual));
 }
 
 // A connection that was slow to open brings it after the server that came next has called.
-TEST(Gate, a_late_word_of_an_earlier_life_brings_it_not_back_and_forgets_nothing_of_the_present_one) {
-  Gate g;
-  Gate::Bounds b;
+TEST(Admission, a_late_word_of_an_earlier_life_brings_it_not_back_and_forgets_nothing_of_the_present_one) {
+  AdmissionController g;
+  AdmissionController::Bounds b;
   b.warmup_per_s = 1;
   CHECK(g.beat(0, server("a", 7), 0));
   CHECK(g.beat(1, server("b", 1), second));
@@ -60,10 +62,10 @@
   CHECK(held::none == g.verdict(51, "c19", {}, usual));
 }
 
-TEST(Gate, of_an_emptied_zone_nothing_passes_and_the_server_is_doubted_when_it_is_taken_back) {
-  Gate g;
+TEST(Admission, of_an_emptied_zone_nothing_passes_and_the_server_is_doubted_when_it_is_taken_back) {
+  AdmissionController g;
   g.beat(0, server("a", 1), 0);
-  Gate::Bounds b;
+  AdmissionController::Bounds b;
   b.emptied = true, b.warmup_per_s = 1;
   CHECK(held::emptied == g.verdict(1, "a", b, usual));
   b.emptied = false;
@@ -75,11 +77,11 @@
   CHECK(held::none == g.verdict(5, "a", b, usual));
 }
 
-TEST(Gate, a_crowd_of_any_rhythm_never_brings_a_cold_server_more_in_a_second_than_it_bears) {
+TEST(Admission, a_crowd_of_any_rhythm_never_brings_a_cold_server_more_in_a_second_than_it_bears) {
   std::mt19937 chance(3);
-  Gate g;
+  AdmissionController g;
   g.beat(0, server("a", 1), 60 * second);
-  Gate::Bounds b;
+  AdmissionController::Bounds b;
   b.warmup_per_s = 5.2, b.conn_limit = 1'000'000;
   std::deque<std::int64_t> passed;
   std::size_t most = 0, all = 0;
@@ -94,9 +96,9 @@
   CHECK(all > 100);
 }
 
-TEST(Gate, what_a_busy_process_writes_late_does_not_meet_the_next_second) {
-  Gate g;
-  Gate::Bounds b;
+TEST(Admission, what_a_busy_process_writes_late_does_not_meet_the_next_second) {
+  AdmissionController g;
+  AdmissionController::Bounds b;
   b.warmup_per_s = 5;
   g.beat(0, server("a", 1), 60 * second);
   for (int i = 0; i < 5; ++i) g.sent(false);
@@ -112,23 +114,23 @@
   CHECK(held::cold == g.verdict(2'700 * ms, "a", b, usual));
 }
 
-TEST(Gate, a_process_that_begins_in_the_midst_of_a_cold_second_sends_nothing_more_in_it) {
-  Gate g;
-  Gate::Bounds b;
+TEST(Admission, a_process_that_begins_in_the_midst_of_a_cold_second_sends_nothing_more_in_it) {
+  AdmissionController g;
+  AdmissionController::Bounds b;
   b.warmup_per_s = 5;
   g.beat(0, server("a", 7),
          3 * second);  // its seventh beat: the process before this one may have sent five just now
   CHECK(held::cold == g.verdict(900 * ms, "a", b, usual));
   CHECK(held::none == g.verdict(1'100 * ms, "a", b, usual));
-  Gate fresh;
+  AdmissionController fresh;
   fresh.beat(0, server("a", 1), 3 * second);
   CHECK(held::none == fresh.verdict(1, "a", b, usual));
 }
 
-TEST(Gate, who_would_be_late_is_held_back_and_callers_that_have_worked_wait_longest) {
-  Gate g;
+TEST(Admission, who_would_be_late_is_held_back_and_callers_that_have_worked_wait_longest) {
+  AdmissionController g;
   g.beat(0, server("a", 1), 0);
-  Gate::Bounds b;
+  AdmissionController::Bounds b;
   b.shortest = 500 * ms;
   for (int i = 0; i < 40; ++i) g.sent(false), g.wrote(i, false), g.ended(i, 0, 100 * ms);
   int usual_most = 0, tight_most = 0;
@@ -139,18 +141,18 @@
   CHECK_EQUAL(16, tight_most);  // all of it
 }
 
-TEST(Gate, a_free_slot_is_never_refused_however_slow_the_server_has_become) {
-  Gate g;
+TEST(Admission, a_free_slot_is_never_refused_however_slow_the_server_has_become) {
+  AdmissionController g;
   g.beat(0, server("a", 1), 0);
   for (int i = 0; i < 40; ++i) g.sent(false), g.wrote(i, false), g.ended(i, 0, 20 * second);
   CHECK(held::none == g.verdict(50, "a", {}, usual));
 }
 
-TEST_GROUP(Account){};
+TEST_GROUP(RetryBudget){};
 
-TEST(Account, further_tries_never_pass_this_nodes_part_in_any_window_however_they_are_asked_for) {
+TEST(RetryBudget, further_tries_never_pass_this_nodes_part_in_any_window_however_they_are_asked_for) {
   std::mt19937 chance(5);
-  ambit::Account a;
+  sidecar::RetryBudget a;
   constexpr std::int64_t window = 10 * second;
   constexpr double ratio = 0.2, slack = 60;
   constexpr std::size_t nodes = 12;
@@ -162,28 +164,28 @@
     if (a.spend(now, "one")) further.push_back(now), ++spent;
     while (!taken.empty() && taken.front() <= now - window) taken.pop_front();
     while (!further.empty() && further.front() <= now - window) further.pop_front();
-    CHECK(double(further.size()) <= ratio / ambit::Account::weight * double(taken.size()) +
-                                        slack / ambit::Account::weight / nodes + 1e-9);
+    CHECK(double(further.size()) <= ratio / sidecar::RetryBudget::weight * double(taken.size()) +
+                                        slack / sidecar::RetryBudget::weight / nodes + 1e-9);
   }
   CHECK(spent > 50);
 }
 
-TEST(Gate, nothing_passes_before_its_node_knows_what_is_in_force) {
-  Gate g;
+TEST(Admission, nothing_passes_before_its_node_knows_what_is_in_force) {
+  AdmissionController g;
   g.beat(0, server("a", 1), 60 * second);
-  Gate::Bounds b;
+  AdmissionController::Bounds b;
   b.known = false;  // so neither the rate of a cold server nor emptied zones are known
   CHECK(held::unready == g.verdict(1, "a", b, usual));
 }
 
-TEST(Gate, long_bodies_are_let_in_as_far_as_the_link_brings_them_in_time) {
-  Gate g;
+TEST(Admission, long_bodies_are_let_in_as_far_as_the_link_brings_them_in_time) {
+  AdmissionController g;
   g.beat(0, server("a", 1), 0);
-  Gate::Bounds b;
+  AdmissionController::Bounds b;
   b.link = 1e6;
-  Gate::Asked upload = {10 * second, 1'000 * ms, 10 * second, true, 300'000};
+  AdmissionController::Asked upload = {10 * second, 1'000 * ms, 10 * second, true, 300'000};
   std::deque<double> coming;
-  const auto let_in = [&](const Gate::Asked& a) {
+  const auto let_in = [&](const AdmissionController::Asked& a) {
     int n = 0;
     for (; g.verdict(1, "a", b, a) == held::none && n < 100; ++n)
       g.sent(true), g.comes(a.bytes), coming.push_back(a.bytes);
@@ -201,24 +203,24 @@
 }
 
 // Its link is shared: calls of 0.5 s behind a second of bodies would all be late.
-TEST(Gate, long_bodies_leave_time_on_the_link_for_the_requests_with_the_shortest_deadline) {
-  Gate g;
+TEST(Admission, long_bodies_leave_time_on_the_link_for_the_requests_with_the_shortest_deadline) {
+  AdmissionController g;
   g.beat(0, server("a", 1), 0);
-  Gate::Bounds b;
+  AdmissionController::Bounds b;
   b.link = 1e6, b.shortest = 500 * ms;
-  const Gate::Asked upload = {10 * second, 1'000 * ms, 10 * second, true, 60'000};
+  const AdmissionController::Asked upload = {10 * second, 1'000 * ms, 10 * second, true, 60'000};
   int let_in = 0;
   for (; g.verdict(1, "a", b, upload) == held::none && let_in < 100; ++let_in)
     g.sent(true), g.comes(upload.bytes);
   CHECK_EQUAL(2, let_in);  // 0.12 MB of the 0.17 that come in half of 0.8 x 500 ms; 11 in 0.8 of its aim
-  const Gate::Asked shortest = {500 * ms, 400 * ms, 500 * ms, true, 60'000};
+  const AdmissionController::Asked shortest = {500 * ms, 400 * ms, 500 * ms, true, 60'000};
   CHECK(held::none == g.verdict(1, "a", b, shortest));  // they have until their own aim
 }
 
-TEST(Gate, an_upload_cut_off_on_its_way_counts_for_its_second_at_a_cold_server) {
-  Gate g;
+TEST(Admission, an_upload_cut_off_on_its_way_counts_for_its_second_at_a_cold_server) {
+  AdmissionController g;
   g.beat(0, server("a", 1), 60 * second);
-  Gate::Bounds b;
+  AdmissionController::Bounds b;
   b.warmup_per_s = 1, b.most_cold = 29;
   g.sent(true), g.never_wrote(100 * ms, true, true);
   CHECK(held::cold == g.verdict(200 * ms, "a", b, usual));
@@ -227,10 +229,10 @@
   CHECK(held::none == g.verdict(1'201 * ms, "a", b, usual));
 }
 
-TEST(Gate, what_a_starved_node_notes_late_never_brings_a_cold_server_more_than_the_rules_allow) {
-  Gate g;
+TEST(Admission, what_a_starved_node_notes_late_never_brings_a_cold_server_more_than_the_rules_allow) {
+  AdmissionController g;
   g.beat(0, server("a", 1), 600 * second);
-  Gate::Bounds b;
+  AdmissionController::Bounds b;
   b.warmup_per_s = 14, b.most_cold = 29, b.conn_limit = 1'000;
   // Each batch is noted as written at once and arrives up to 1.5 s later, as it is answered: batches may meet
   // there.
--- a/tests/mesh/apply_throttle_test.cpp
+++ b/tests/mesh/apply_throttle_test.cpp
@@ -1,8 +1,8 @@
-#include "../../src/mesh/apply_throttle.h"
+#include "../../src/app/apply_throttle.h"
 
 #include <CppUTest/TestHarness.h>
 
-using robinpin::mesh::ApplyThrottle;
+using robinpin::app::ApplyThrottle;
 
 namespace {
 constexpr std::int64_t millisecond = 1'000, second = 1'000'000;
--- a/tests/mesh/configuration_changes_test.cpp
+++ b/tests/mesh/configuration_changes_test.cpp
@@ -427,7 +427,7 @@
         "{}\r\n\r\n",
         uploads ? "POST" : "GET", name, lasts ? "long" : "short", id, milliseconds(request_time),
         body.size());
-    const int life = s.life;
+    const int incarnation = s.incarnation;
     const auto sent = steady::now();
     Route& r = routes_[name];
     const std::uint64_t seen = s.seen[name];
@@ -439,7 +439,7 @@
     auto got = codec::reading::unfinished;
     if (!error) got = co_await c->read(error);
     --s.requests_open;
-    if (life != s.life) co_return nullptr;  // its sidecar was killed
+    if (incarnation != s.incarnation) co_return nullptr;  // its sidecar was killed
     const auto ended = steady::now();
     if (got != codec::reading::complete) {
       judge_cut(s, fmt::format("{} of {} at {}", id, name, s.outbound().address().to_string()), sent, ended,
@@ -558,7 +558,7 @@
   }
   awaitable<void> kill_sidecar(Sidecar& s) {
     co_await when_requests_are_open(s);
-    s.serves = false, ++s.life, s.seen.clear();
+    s.serves = false, ++s.incarnation, s.seen.clear();
     s.process().kill();
     trouble_ = steady::now();
     co_await pause(span());
--- a/tests/mesh/contract_test.cpp
+++ b/tests/mesh/contract_test.cpp
@@ -5,12 +5,12 @@
 #include <set>
 #include <sstream>
 
-#include "../../src/chronicle/event_log.h"
-#include "../../src/span/address.h"
-#include "../../src/span/simulated_network.h"
-#include "../../src/span/udp_transport.h"
-#include "../../src/trove/leveldb_store.h"
-#include "../../src/trove/memory_store.h"
+#include "../../src/event_log/event_log.h"
+#include "../../src/transport/address.h"
+#include "../../src/transport/simulated_network.h"
+#include "../../src/transport/udp_transport.h"
+#include "../../src/storage/leveldb_store.h"
+#include "../../src/storage/memory_store.h"
 #include "help.h"
 
 #include <CppUTest/TestHarness.h>
@@ -20,7 +20,7 @@
 
 namespace {
 
-using trove::KeyValueStore;
+using storage::KeyValueStore;
 using Durability = KeyValueStore::Durability;
 
 class TemporaryFolder {
@@ -55,7 +55,7 @@
   }
   const auto store = open();
   std::vector<KeyValueStore::Entry> entries;
-  const std::string error = trouble_of<void>([&]() -> trove::result<void> {
+  const std::string error = trouble_of<void>([&]() -> storage::result<void> {
     BOOST_LEAF_ASSIGN(entries, store->read_all());
     BOOST_LEAF_AUTO(size, store->size_on_disk());
     CHECK(size > 0 && size < 1'000'000);
@@ -67,19 +67,21 @@
 }
 
 // The contract of every transport. `wait_until` lets time pass until the condition holds.
-void check_transport_contract(span::DatagramTransport& a, span::Machine address_a, span::DatagramTransport& b,
-                              span::Machine address_b,
+void check_transport_contract(transport::DatagramTransport& a, transport::Machine address_a,
+                              transport::DatagramTransport& b, transport::Machine address_b,
                               const std::function<void(const std::function<bool()>&)>& wait_until) {
   constexpr std::size_t common_size = 1'200;
-  std::vector<std::pair<span::Machine, std::string>> received_by_a, received_by_b;
-  a.set_handler(
-      [&](span::Machine sender, std::string_view datagram) { received_by_a.emplace_back(sender, datagram); });
-  b.set_handler(
-      [&](span::Machine sender, std::string_view datagram) { received_by_b.emplace_back(sender, datagram); });
+  std::vector<std::pair<transport::Machine, std::string>> received_by_a, received_by_b;
+  a.set_handler([&](transport::Machine sender, std::string_view datagram) {
+    received_by_a.emplace_back(sender, datagram);
+  });
+  b.set_handler([&](transport::Machine sender, std::string_view datagram) {
+    received_by_b.emplace_back(sender, datagram);
+  });
   const std::string odd_bytes("\0\xff\r\n", 4);
   a.send(address_b, odd_bytes);
   a.send(address_b, std::string(common_size, 'y'));
-  a.send(address_b, std::string(rumour::longest_datagram + 1, 'z'));  // dropped
+  a.send(address_b, std::string(gossip::longest_datagram + 1, 'z'));  // dropped
   b.send(address_a, "back");
   wait_until([&] { return received_by_a.size() >= 1 && received_by_b.size() >= 2; });
   CHECK_EQUAL(1, received_by_a.size());
@@ -95,16 +97,16 @@
 
 }  // namespace
 
-TEST_GROUP(Trove){};
+TEST_GROUP(Storage){};
 
-TEST(Trove, the_memory_store_keeps_writes_over_a_restart) {
-  const auto disk = std::make_shared<trove::MemoryStore::Disk>();
-  check_store_contract([&] { return std::make_unique<trove::MemoryStore>(disk); });
+TEST(Storage, the_memory_store_keeps_writes_over_a_restart) {
+  const auto disk = std::make_shared<storage::MemoryStore::Disk>();
+  check_store_contract([&] { return std::make_unique<storage::MemoryStore>(disk); });
 }
 
-TEST(Trove, the_memory_store_loses_only_unsynced_writes_with_power) {
-  const auto disk = std::make_shared<trove::MemoryStore::Disk>();
-  trove::MemoryStore store(disk);
+TEST(Storage, the_memory_store_loses_only_unsynced_writes_with_power) {
+  const auto disk = std::make_shared<storage::MemoryStore::Disk>();
+  storage::MemoryStore store(disk);
   write(store, {{{"a", "x"}}, {}}, Durability::unsynced);
   write(store, {{{"b", "x"}}, {}}, Durability::synced);
   write(store, {{{"c", "x"}}, {}}, Durability::unsynced);
@@ -113,12 +115,12 @@
   CHECK(disk->written == (std::map<std::string, std::string>{{"a", "x"}, {"b", "x"}}));
 }
 
-TEST(Trove, the_store_on_disk_keeps_writes_over_a_restart) {
+TEST(Storage, the_store_on_disk_keeps_writes_over_a_restart) {
   const TemporaryFolder folder;
   check_store_contract([&] {
     std::unique_ptr<KeyValueStore> store;
-    const std::string error = trouble_of<void>([&]() -> trove::result<void> {
-      BOOST_LEAF_ASSIGN(store, trove::open_leveldb_store(folder.store_path()));
+    const std::string error = trouble_of<void>([&]() -> storage::result<void> {
+      BOOST_LEAF_ASSIGN(store, storage::open_leveldb_store(folder.store_path()));
       return {};
     });
     STRCMP_EQUAL("", error.c_str());
@@ -126,31 +128,32 @@
   });
 }
 
-TEST(Trove, opening_a_folder_that_is_a_file_fails_with_step_and_peer) {
+TEST(Storage, opening_a_folder_that_is_a_file_fails_with_step_and_peer) {
   const TemporaryFolder folder;
   std::ofstream(folder.store_path()) << "x";
   const std::string error = trouble_of<std::unique_ptr<KeyValueStore>>(
-      [&] { return trove::open_leveldb_store(folder.store_path()); });
+      [&] { return storage::open_leveldb_store(folder.store_path()); });
   CHECK(error.starts_with("open|" + folder.store_path() + "|"));
 }
 
-TEST_GROUP(Span){};
+TEST_GROUP(Transport){};
 
-TEST(Span, the_simulated_transport_delivers_datagrams_unaltered_with_their_sender) {
-  span::SimulatedNetwork network(1);
-  span::SimulatedTransport a(network, 1), b(network, 2);
+TEST(Transport, the_simulated_transport_delivers_datagrams_unaltered_with_their_sender) {
+  transport::SimulatedNetwork network(1);
+  transport::SimulatedTransport a(network, 1), b(network, 2);
   check_transport_contract(a, 1, b, 2, [&](const auto&) { network.advance_to(1'000'000); });
 }
 
-TEST(Span, the_udp_transport_delivers_datagrams_unaltered_with_their_sender) {
+TEST(Transport, the_udp_transport_delivers_datagrams_unaltered_with_their_sender) {
   asio::io_context io;
-  std::unique_ptr<span::UdpTransport> a, b;
-  const auto address_a = span::parse_address("127.0.21.1"), address_b = span::parse_address("127.0.21.2");
+  std::unique_ptr<transport::UdpTransport> a, b;
+  const auto address_a = transport::parse_address("127.0.21.1"),
+             address_b = transport::parse_address("127.0.21.2");
   for (std::uint16_t port = 21'000; !b && port < 21'400; ++port) {  // one that is free at both
     a.reset();
-    trouble_of<void>([&]() -> trove::result<void> {
-      BOOST_LEAF_ASSIGN(a, span::UdpTransport::open(io, address_a, port));
-      BOOST_LEAF_ASSIGN(b, span::UdpTransport::open(io, address_b, port));
+    trouble_of<void>([&]() -> storage::result<void> {
+      BOOST_LEAF_ASSIGN(a, transport::UdpTransport::open(io, address_a, port));
+      BOOST_LEAF_ASSIGN(b, transport::UdpTransport::open(io, address_b, port));
       return {};
     });
   }
@@ -160,20 +163,20 @@
   });
 }
 
-TEST(Span, binding_an_address_in_use_fails_with_step_and_peer) {
+TEST(Transport, binding_an_address_in_use_fails_with_step_and_peer) {
   asio::io_context io;
-  const auto address = span::parse_address("127.0.21.3");
-  std::unique_ptr<span::UdpTransport> first;
+  const auto address = transport::parse_address("127.0.21.3");
+  std::unique_ptr<transport::UdpTransport> first;
   std::string error;
   for (std::uint16_t port = 21'400; error.empty() && port < 21'800; ++port) {
     first.reset();
-    trouble_of<void>([&]() -> trove::result<void> {
-      BOOST_LEAF_ASSIGN(first, span::UdpTransport::open(io, address, port));
+    trouble_of<void>([&]() -> storage::result<void> {
+      BOOST_LEAF_ASSIGN(first, transport::UdpTransport::open(io, address, port));
       return {};
     });
     if (!first) continue;
-    error = trouble_of<std::unique_ptr<span::UdpTransport>>(
-        [&] { return span::UdpTransport::open(io, address, port); });
+    error = trouble_of<std::unique_ptr<transport::UdpTransport>>(
+        [&] { return transport::UdpTransport::open(io, address, port); });
   }
   CHECK(error.starts_with("bind|127.0.21.3:"));
 }
@@ -181,19 +184,19 @@
 TEST_GROUP(Wire){};
 
 TEST(Wire, a_datagram_that_is_cut_short_or_lies_about_a_length_is_dropped) {
-  rumour::News news;
+  gossip::UpdateMessage news;
   news.items.push_back({"c/a", 7, false, "text"});
   news.records.push_back({});
-  const std::string good = rumour::written(rumour::kind::news, news);
-  CHECK(rumour::read<rumour::News>(good).has_value());
+  const std::string good = gossip::written(gossip::kind::news, news);
+  CHECK(gossip::read<gossip::UpdateMessage>(good).has_value());
   for (std::size_t n = 0; n < good.size(); ++n)
-    CHECK_FALSE(rumour::read<rumour::News>(good.substr(0, n)).has_value());
+    CHECK_FALSE(gossip::read<gossip::UpdateMessage>(good.substr(0, n)).has_value());
   std::string lies = good;
   for (std::size_t i = 1; i < 9; ++i) lies[i] = char(0x7f);
-  CHECK_FALSE(rumour::read<rumour::News>(lies).has_value());
+  CHECK_FALSE(gossip::read<gossip::UpdateMessage>(lies).has_value());
 }
 
-TEST_GROUP(Chronicle){};
+TEST_GROUP(EventLog){};
 
 namespace {
 
@@ -214,8 +217,8 @@
 
 }  // namespace
 
-TEST(Chronicle, every_event_type_is_in_the_catalogue_with_its_number_and_no_other_is) {
-  const auto in_code = find_events(read_text(ROBINPIN_SOURCE "/src/chronicle/event_log.h"),
+TEST(EventLog, every_event_type_is_in_the_catalogue_with_its_number_and_no_other_is) {
+  const auto in_code = find_events(read_text(ROBINPIN_SOURCE "/src/event_log/event_log.h"),
                                    std::regex(R"(\n  (\w+) = (\d+),)"));
   const auto in_catalogue =
       find_events(read_text(ROBINPIN_SOURCE "/docs/events.md"), std::regex(R"(\n\| `(\w+)` \| (\d+) \|)"));
@@ -223,12 +226,12 @@
   CHECK(in_code == in_catalogue);
 }
 
-TEST(Chronicle, the_log_drops_the_oldest_events_and_its_counters_keep_counting_them) {
+TEST(EventLog, the_log_drops_the_oldest_events_and_its_counters_keep_counting_them) {
   constexpr std::size_t dropped = 10;
-  constexpr std::size_t appended = chronicle::EventLog::capacity + dropped;
-  chronicle::EventLog log;
-  for (std::size_t i = 0; i < appended; ++i) log.append(chronicle::EventType::clock_jumped, std::int64_t(i));
-  CHECK_EQUAL(chronicle::EventLog::capacity, log.events().size());
+  constexpr std::size_t appended = event_log::EventLog::capacity + dropped;
+  event_log::EventLog log;
+  for (std::size_t i = 0; i < appended; ++i) log.append(event_log::EventType::clock_jumped, std::int64_t(i));
+  CHECK_EQUAL(event_log::EventLog::capacity, log.events().size());
   CHECK_EQUAL(dropped, log.events().front().time);
-  CHECK_EQUAL(appended, log.counts().counts.at(chronicle::EventType::clock_jumped));
+  CHECK_EQUAL(appended, log.counts().counts.at(event_log::EventType::clock_jumped));
 }
--- a/tests/mesh/fleet_test.cpp
+++ b/tests/mesh/control_plane_test.cpp
@@ -1,4 +1,4 @@
-#include "fleet.h"
+#include "simulated_core.h"
 
 #include <algorithm>
 #include <set>
@@ -7,7 +7,7 @@
 
 using namespace robinpin;
 using namespace robinpin::mesh_test;
-using What = locus::Order::what;
+using What = control_plane::OperatorRequest::what;
 
 namespace {
 constexpr std::int64_t second = 1'000'000;
@@ -30,13 +30,13 @@
 // Keeps the last beat of one core, by whom it went to, and brings it again.
 struct Late : Fleet {
   Late(Machine whose, std::uint32_t seed) : Fleet(0, 3, seed), of(whose) {}
-  void heard(Machine m, Machine from, std::string_view bytes) override {
-    if (from == of && bytes[0] == char(locus::kind::beat) && keeps) beats[m] = bytes;
-    Fleet::heard(m, from, bytes);
+  void on_datagram(Machine m, Machine from, std::string_view bytes) override {
+    if (from == of && bytes[0] == char(control_plane::kind::beat) && keeps) beats[m] = bytes;
+    Fleet::on_datagram(m, from, bytes);
   }
   void again() {
     for (const auto& [m, bytes] : std::map(beats))
-      if (nodes.at(m).up()) Fleet::heard(m, of, bytes);
+      if (nodes.at(m).up()) Fleet::on_datagram(m, of, bytes);
   }
   const Machine of;
   bool keeps = true;
@@ -44,9 +44,9 @@
 };
 }  // namespace
 
-TEST_GROUP(Fleet){};
+TEST_GROUP(ControlPlane){};
 
-TEST(Fleet, a_change_reaches_all_of_15_though_a_tenth_of_the_datagrams_is_lost_or_doubled) {
+TEST(ControlPlane, a_change_reaches_all_of_15_though_a_tenth_of_the_datagrams_is_lost_or_doubled) {
   Fleet f(12, 3, 1);
   f.net.loss_probability = f.net.duplication_probability = 0.1;
   CHECK_EQUAL(200, f.settled(core(0), What::adjust, first_call("00000007")));
@@ -58,7 +58,7 @@
   CHECK(f.faults.empty());
 }
 
-TEST(Fleet, what_was_acknowledged_is_read_back_after_the_core_that_said_so_has_lost_its_disk) {
+TEST(ControlPlane, what_was_acknowledged_is_read_back_after_the_core_that_said_so_has_lost_its_disk) {
   for (int who = 0; who < 3; ++who) {
     Fleet f(0, 3, 10 + std::uint32_t(who));  // no ambit hands anything over: the core alone keeps it
     f.cut(core(0), core(1));                 // one link is down, so that just two hold it
@@ -72,14 +72,15 @@
   }
 }
 
-TEST(Fleet, what_was_acknowledged_lasts_though_all_machines_lose_power_in_that_moment_and_disks_are_lost) {
+TEST(ControlPlane,
+     what_was_acknowledged_lasts_though_all_machines_lose_power_in_that_moment_and_disks_are_lost) {
   for (std::uint32_t seed = 0; seed < 40; ++seed) {
     const int cores = seed % 2 ? 5 : 3, emptied = cores / 2;
     Fleet f(3, cores, 900 + seed);
     f.run(second);
     f.net.loss_probability = seed % 4 == 3 ? 0.1 : 0;
     // Every core is asked for something, all at once: what is answered by then has to last.
-    std::vector<std::pair<std::string, std::shared_ptr<std::optional<locus::Outcome>>>> asked;
+    std::vector<std::pair<std::string, std::shared_ptr<std::optional<control_plane::RequestOutcome>>>> asked;
     CHECK_EQUAL(200, taken(f, core(0), What::adjust, first_call("00000007")));
     for (int i = 0; i < cores; ++i) {
       const std::string label = "new-" + std::to_string(i);
@@ -110,7 +111,7 @@
   }
 }
 
-TEST(Fleet, an_empty_disk_is_no_copy_before_it_has_met_all_that_may_be_lost_with_it) {
+TEST(ControlPlane, an_empty_disk_is_no_copy_before_it_has_met_all_that_may_be_lost_with_it) {
   Fleet f(0, 3, 4);
   f.cut(core(0), core(2));
   CHECK_EQUAL(200, f.settled(core(0), What::adjust, first_call("00000007")));
@@ -131,7 +132,7 @@
   CHECK(says(f, core(2), "\"r2\""));
 }
 
-TEST(Fleet, a_core_alone_acknowledges_nothing_and_says_so_before_its_caller_goes) {
+TEST(ControlPlane, a_core_alone_acknowledges_nothing_and_says_so_before_its_caller_goes) {
   Fleet f(3, 3, 5);
   f.cut_off(core(0));
   const auto o = f.order(core(0), What::adjust, first_call("00000007"));
@@ -145,7 +146,7 @@
   CHECK_EQUAL(6, f.with("c/r0", 7));
 }
 
-TEST(Fleet, a_core_that_was_cut_off_judges_a_call_by_what_the_others_hold) {
+TEST(ControlPlane, a_core_that_was_cut_off_judges_a_call_by_what_the_others_hold) {
   Fleet f(0, 3, 6);
   f.run(second);
   f.cut_off(core(2));
@@ -161,7 +162,7 @@
 
 // At once, and one after the other; the loser learns which version stands, and the same wording again is
 // taken again.
-TEST(Fleet, of_two_operators_with_one_version_one_is_confirmed_and_what_was_confirmed_stands) {
+TEST(ControlPlane, of_two_operators_with_one_version_one_is_confirmed_and_what_was_confirmed_stands) {
   for (std::uint32_t seed = 20; seed < 40; ++seed) {
     Fleet f(4, 3, seed);
     f.net.loss_probability = f.net.duplication_probability = 0.05;
@@ -174,7 +175,7 @@
     CHECK(a->has_value() && b->has_value());
     CHECK((*a)->status != 400 && (*b)->status != 400);
     CHECK_FALSE((*a)->status == 200 && (*b)->status == 200);
-    const creed::Item settled = *f.nodes.at(core(0)).creed->find("c/r0");
+    const configuration::VersionedItem settled = *f.nodes.at(core(0)).creed->find("c/r0");
     CHECK_EQUAL(10, settled.version);
     for (int i = 0; i < 2; ++i)
       if (const auto& o = i ? b : a; (*o)->status == 200)
@@ -192,7 +193,7 @@
   }
 }
 
-TEST(Fleet, an_evacuation_taken_back_stays_so_though_a_core_slept_through_both) {
+TEST(ControlPlane, an_evacuation_taken_back_stays_so_though_a_core_slept_through_both) {
   Fleet f(3, 3, 7);
   CHECK_EQUAL(200, f.settled(core(0), What::adjust, first_call("00000007")));
   f.cut_off(core(2));
@@ -208,7 +209,7 @@
   for (const auto& [m, n] : f.nodes) CHECK_FALSE(n.creed->stands("e/zone-a"));
 }
 
-TEST(Fleet, a_failed_sync_is_final_and_nothing_is_acknowledged_after_it) {
+TEST(ControlPlane, a_failed_sync_is_final_and_nothing_is_acknowledged_after_it) {
   Fleet f(0, 3, 8);
   f.run(second);
   f.nodes.at(core(0)).trove->fail_writes = true;
@@ -220,23 +221,23 @@
   CHECK_EQUAL(503, f.settled(core(1), What::adjust, first_call("00000009")));
 }
 
-TEST(Fleet, a_member_that_is_silent_lapses_and_one_word_of_its_own_takes_that_back) {
+TEST(ControlPlane, a_member_that_is_silent_lapses_and_one_word_of_its_own_takes_that_back) {
   Fleet f(6, 3, 9);
-  rumour::Record r;
+  gossip::MemberRecord r;
   r.server = "i-1", r.service = "one";
   f.state(ambit(0), r);
   f.run(8 * second);
-  CHECK_FALSE(f.nodes.at(ambit(5)).rumour->roll().find(ambit(0))->lapsed);
+  CHECK_FALSE(f.nodes.at(ambit(5)).rumour->members().find(ambit(0))->expired);
   f.cut_off(ambit(0));
   f.run(9 * second);
-  CHECK(f.nodes.at(ambit(5)).rumour->roll().find(ambit(0))->lapsed);
+  CHECK(f.nodes.at(ambit(5)).rumour->members().find(ambit(0))->expired);
   f.join();
   f.run(3 * second);
-  CHECK_FALSE(f.nodes.at(ambit(5)).rumour->roll().find(ambit(0))->lapsed);
-  STRCMP_EQUAL("i-1", f.nodes.at(ambit(5)).rumour->roll().find(ambit(0))->server.c_str());
+  CHECK_FALSE(f.nodes.at(ambit(5)).rumour->members().find(ambit(0))->expired);
+  STRCMP_EQUAL("i-1", f.nodes.at(ambit(5)).rumour->members().find(ambit(0))->server.c_str());
 }
 
-TEST(Fleet, a_core_that_is_cut_off_or_has_just_come_back_empties_nobodys_list) {
+TEST(ControlPlane, a_core_that_is_cut_off_or_has_just_come_back_empties_nobodys_list) {
   Fleet f(6, 3, 11);
   f.run(3 * second);
   f.cut_off(core(0));
@@ -247,12 +248,12 @@
   f.run(20 * second);
   for (int i = 1; i < 3; ++i) f.start(core(i));
   f.run(4 * second);
-  for (const auto& [m, e] : f.nodes.at(ambit(3)).rumour->roll().entries()) CHECK_FALSE(e.record.lapsed);
+  for (const auto& [m, e] : f.nodes.at(ambit(3)).rumour->members().entries()) CHECK_FALSE(e.record.expired);
 }
 
 // Else of two that compete both could get a majority: one before the voter was down, the other after it came
 // back.
-TEST(Fleet, what_a_voter_has_promised_or_accepted_binds_it_after_a_loss_of_power) {
+TEST(ControlPlane, what_a_voter_has_promised_or_accepted_binds_it_after_a_loss_of_power) {
   Fleet f(0, 3, 21);
   CHECK_EQUAL(200, f.settled(core(0), What::adjust, first_call("00000007")));
   f.run(second);
@@ -260,13 +261,14 @@
   const std::string store = voter.store();
   const std::uint64_t next = voter.number() + 1;
   std::vector<consensus::Reply> replies;
-  span::SimulatedTransport proposer(f.net, 77);
+  transport::SimulatedTransport proposer(f.net, 77);
   proposer.set_handler([&](Machine, std::string_view bytes) {
-    if (const auto a = locus::read_whole<locus::Answering>(bytes)) replies.push_back(a->reply);
+    if (const auto a = control_plane::read_whole<control_plane::ConsensusReply>(bytes))
+      replies.push_back(a->reply);
   });
   const auto asked = [&](consensus::phase what, std::uint64_t round, const std::string& text = {},
                          std::uint64_t ahead = 0) {
-    locus::Asking a;
+    control_plane::ConsensusRequest a;
     a.ask = {what,
              store,
              "state",
@@ -275,7 +277,7 @@
              f.nodes.at(core(0)).keep->voters(),
              {}};
     replies.clear();
-    proposer.send(core(0), locus::written(locus::kind::ask, a));
+    proposer.send(core(0), control_plane::written(control_plane::kind::ask, a));
     f.run(20'000);
     CHECK_EQUAL(1, replies.size());
     return replies.front();
@@ -287,7 +289,7 @@
     f.run(second);
     CHECK(f.nodes.at(core(0)).keep->votes());
   };
-  const std::string text = locus::packed({{"c/r0", 9, true, {}, 0}});
+  const std::string text = control_plane::packed({{"c/r0", 9, true, {}, 0}});
   CHECK(asked(consensus::phase::prepare, 1'000).how == consensus::verdict::yes);
   power_off();
   CHECK(asked(consensus::phase::accept, 999, text).how == consensus::verdict::lower);
@@ -301,25 +303,25 @@
 }
 
 // Taken back within a second once they hear each other again, and so not to be seen then.
-TEST(Fleet, a_node_that_hears_one_cut_off_core_alone_keeps_its_list) {
+TEST(ControlPlane, a_node_that_hears_one_cut_off_core_alone_keeps_its_list) {
   Fleet f(6, 3, 12);
   f.run(3 * second);
   for (const auto& [m, n] : f.nodes)
     if (m != core(0) && m != ambit(5)) f.cut(core(0), m), f.cut(ambit(5), m);
   f.run(20 * second);
   for (const Machine at : {core(0), ambit(5)}) {
-    CHECK_EQUAL(9, f.nodes.at(at).rumour->roll().entries().size());
-    for (const auto& [m, e] : f.nodes.at(at).rumour->roll().entries()) CHECK_FALSE(e.record.lapsed);
+    CHECK_EQUAL(9, f.nodes.at(at).rumour->members().entries().size());
+    for (const auto& [m, e] : f.nodes.at(at).rumour->members().entries()) CHECK_FALSE(e.record.expired);
   }
 }
 
 // Answers to its beats lay in its sockets, and say nothing of the present.
-TEST(Fleet, a_core_that_wakes_is_not_whole_by_answers_from_before_it_stood_still) {
+TEST(ControlPlane, a_core_that_wakes_is_not_whole_by_answers_from_before_it_stood_still) {
   struct Asked : Fleet {
     using Fleet::Fleet;
-    void heard(Machine m, Machine from, std::string_view bytes) override {
-      asked += m != core(0) && from == core(0) && bytes[0] == char(locus::kind::beat);
-      Fleet::heard(m, from, bytes);
+    void on_datagram(Machine m, Machine from, std::string_view bytes) override {
+      asked += m != core(0) && from == core(0) && bytes[0] == char(control_plane::kind::beat);
+      Fleet::on_datagram(m, from, bytes);
     }
     int asked = 0;
   };
@@ -342,25 +344,25 @@
   }
 }
 
-TEST(Fleet, a_life_with_a_clock_set_back_is_believed_after_the_life_before_it) {
+TEST(ControlPlane, a_life_with_a_clock_set_back_is_believed_after_the_life_before_it) {
   Fleet f(4, 3, 12);
-  f.nodes.at(ambit(0)).life = 1000;
+  f.nodes.at(ambit(0)).incarnation = 1000;
   f.kill(ambit(0));
-  rumour::Record r;
+  gossip::MemberRecord r;
   r.server = "i-1";
   f.nodes.at(ambit(0)).record = r;
   f.start(ambit(0));
   f.run(2 * second);
-  f.nodes.at(ambit(0)).life = 5;
+  f.nodes.at(ambit(0)).incarnation = 5;
   f.kill(ambit(0));
   r.server = "i-2";
   f.nodes.at(ambit(0)).record = r;
   f.start(ambit(0));
   f.run(3 * second);
-  STRCMP_EQUAL("i-2", f.nodes.at(ambit(3)).rumour->roll().find(ambit(0))->server.c_str());
+  STRCMP_EQUAL("i-2", f.nodes.at(ambit(3)).rumour->members().find(ambit(0))->server.c_str());
 }
 
-TEST(Fleet, a_node_that_begins_waits_until_it_has_what_a_majority_of_the_core_holds) {
+TEST(ControlPlane, a_node_that_begins_waits_until_it_has_what_a_majority_of_the_core_holds) {
   Fleet f(4, 3, 13);
   CHECK_EQUAL(200, f.settled(core(0), What::adjust, first_call("00000007")));
   f.run(second);
@@ -385,7 +387,7 @@
 // A core that is cut off from the others says of itself that it is no longer in contact, and nobody begins by
 // its word, however long; nor by that of a member which did begin before.
 TEST(
-    Fleet,
+    ControlPlane,
     a_node_that_hears_one_cut_off_core_alone_never_begins_and_takes_the_newer_version_once_it_hears_another) {
   for (std::uint32_t seed = 300; seed < 400; ++seed) {
     Fleet f(1 + int(seed % 3), 3, seed);
@@ -412,7 +414,7 @@
 }
 
 // A core that stood still finds answers to what it asked before in its sockets: they say nothing of now.
-TEST(Fleet, a_core_that_wakes_answers_no_read_by_what_it_was_told_before_it_stood_still) {
+TEST(ControlPlane, a_core_that_wakes_answers_no_read_by_what_it_was_told_before_it_stood_still) {
   for (std::uint32_t seed = 500; seed < 540; ++seed) {
     Fleet f(0, 3, seed);
     CHECK_EQUAL(200, f.settled(core(0), What::adjust, first_call("00000007")));
@@ -435,7 +437,7 @@
 
 // The third is gone for good, an empty one comes at a new address: within `settle` of its start a further
 // loss is borne.
-TEST(Fleet, a_core_replaced_at_a_new_address_votes_before_the_next_loss_and_the_old_one_never_again) {
+TEST(ControlPlane, a_core_replaced_at_a_new_address_votes_before_the_next_loss_and_the_old_one_never_again) {
   for (std::uint32_t seed = 600; seed < 620; ++seed) {
     Fleet f(2, 3, seed);
     f.net.loss_probability = 0.03;
@@ -450,7 +452,7 @@
     f.kill(next);
     f.run(second);
     for (const Machine m : {last, fresh})
-      CHECK_EQUAL(200, f.settled(m, What::adjust, one_route(creed::version_text(m), "two")));
+      CHECK_EQUAL(200, f.settled(m, What::adjust, one_route(configuration::version_text(m), "two")));
     // Two majorities: the old two must not agree on anything, and the new two find all that was confirmed.
     f.kill(last), f.kill(fresh);
     f.start(next), f.thaw(gone);
@@ -460,19 +462,20 @@
     f.kill(gone), f.kill(next);
     f.start(last), f.start(fresh);
     f.run(2 * second);
-    for (const Machine m : {last, fresh}) CHECK(says(f, m, creed::version_text(std::max(last, fresh))));
+    for (const Machine m : {last, fresh})
+      CHECK(says(f, m, configuration::version_text(std::max(last, fresh))));
     CHECK(f.faults.empty());
   }
 }
 
 // The two are a majority of the earlier list, and the word that it has changed gets lost: whoever is asked
 // under it says so.
-TEST(Fleet, a_core_that_missed_a_change_of_voters_settles_nothing_with_one_that_did_not) {
+TEST(ControlPlane, a_core_that_missed_a_change_of_voters_settles_nothing_with_one_that_did_not) {
   struct Deaf : Fleet {
     using Fleet::Fleet;
-    void heard(Machine m, Machine from, std::string_view bytes) override {
-      if (!(deaf && m == core(2) && from == core(1) && bytes[0] == char(locus::kind::beat)))
-        Fleet::heard(m, from, bytes);
+    void on_datagram(Machine m, Machine from, std::string_view bytes) override {
+      if (!(deaf && m == core(2) && from == core(1) && bytes[0] == char(control_plane::kind::beat)))
+        Fleet::on_datagram(m, from, bytes);
     }
     bool deaf = false;
   };
@@ -502,7 +505,7 @@
 
 // A planned end: while the list changes a majority of both is needed, and who goes is let go once a majority
 // of the new one has all.
-TEST(Fleet, who_leaves_goes_once_others_hold_all_and_while_the_list_changes_neither_list_is_enough) {
+TEST(ControlPlane, who_leaves_goes_once_others_hold_all_and_while_the_list_changes_neither_list_is_enough) {
   int changing = 0;
   for (std::uint32_t seed = 1; seed <= 40; ++seed) {
     Fleet f(0, 3, 650 + seed);
@@ -510,7 +513,7 @@
     f.run(second);
     CHECK_EQUAL(200, f.settled(core(0), What::adjust, first_call("00000007")));
     const auto& leaver = *f.nodes.at(core(2)).keep;
-    rumour::Outbox out;
+    gossip::Outbox out;
     f.nodes.at(core(2)).keep->leave(f.net.now, out);
     CHECK_FALSE(leaver.may_go());
     const auto& first = *f.nodes.at(core(0)).keep;
@@ -548,14 +551,14 @@
 }
 
 // Its words come late and doubled after it has gone for good: a seat given to it would be one more loss.
-TEST(Fleet, a_machine_that_has_left_gets_no_seat_by_what_it_said_before) {
+TEST(ControlPlane, a_machine_that_has_left_gets_no_seat_by_what_it_said_before) {
   Late f(core(3), 77);
   f.add(core(3), true, 3), f.start(core(3));
   CHECK_EQUAL(200, f.settled(core(0), What::adjust, first_call("00000007")));
   f.run(2 * second);
   const std::string store = f.nodes.at(core(3)).keep->store();
   f.keeps = false;
-  rumour::Outbox out;
+  gossip::Outbox out;
   f.nodes.at(core(3)).keep->leave(f.net.now, out);
   CHECK(f.nodes.at(core(3)).keep->may_go());
   for (const auto& d : out) f.nodes.at(core(3)).span->send(d.to, d.bytes);
@@ -565,13 +568,13 @@
   for (int i = 0; i < 30; ++i) f.again(), f.run(100'000);
   for (const int i : {0, 1}) {
     CHECK_FALSE(f.nodes.at(core(i)).keep->voters().seat(store));
-    CHECK_EQUAL(
-        200, f.settled(core(i), What::adjust, one_route(creed::version_text(std::uint64_t(20 + i)), "two")));
+    CHECK_EQUAL(200, f.settled(core(i), What::adjust,
+                               one_route(configuration::version_text(std::uint64_t(20 + i)), "two")));
   }
 }
 
 // Two lives are new to who has just started, and the earlier one's word came last.
-TEST(Fleet, a_late_word_of_an_earlier_life_does_not_shut_the_present_one_out) {
+TEST(ControlPlane, a_late_word_of_an_earlier_life_does_not_shut_the_present_one_out) {
   Late f(core(2), 78);
   CHECK_EQUAL(200, f.settled(core(0), What::adjust, first_call("00000007")));
   f.run(2 * second);
@@ -590,11 +593,11 @@
 }
 
 // One standby for two seats: the disk that was lost, and a machine that is about to go.
-TEST(Fleet, a_machine_with_an_empty_disk_takes_its_own_seat_back_and_never_a_second_one) {
+TEST(ControlPlane, a_machine_with_an_empty_disk_takes_its_own_seat_back_and_never_a_second_one) {
   for (std::uint32_t seed = 1; seed <= 10; ++seed) {
     Fleet f(0, 3, 700 + seed);
     CHECK_EQUAL(200, f.settled(core(0), What::adjust, first_call("00000007")));
-    rumour::Outbox out;
+    gossip::Outbox out;
     f.nodes.at(core(1)).keep->leave(f.net.now, out);
     f.kill(core(2)), f.wipe(core(2)), f.start(core(2));
     f.run(3 * second);
@@ -610,24 +613,25 @@
   }
 }
 
-TEST(Fleet, a_machine_that_has_a_seat_takes_no_other_and_a_dead_one_waits_for_who_has_none) {
+TEST(ControlPlane, a_machine_that_has_a_seat_takes_no_other_and_a_dead_one_waits_for_who_has_none) {
   const consensus::Voters voters{4, {{"1", "a", "1"}, {"2", "b", "2"}, {"3", "c", "3"}}, {}};
-  const locus::Standby again{{"2", "x", "2"}}, other{{"4", "d", "4"}};
-  CHECK_FALSE(locus::next_seats(voters, {"a"}, {}, {again}, 3));  // nobody has said yet that b is gone
-  CHECK_FALSE(locus::next_seats(voters, {}, {}, {again}, 4));
-  const auto seats = locus::next_seats(voters, {"a"}, {}, {again, other}, 3);
+  const control_plane::Standby again{{"2", "x", "2"}}, other{{"4", "d", "4"}};
+  CHECK_FALSE(
+      control_plane::next_seats(voters, {"a"}, {}, {again}, 3));  // nobody has said yet that b is gone
+  CHECK_FALSE(control_plane::next_seats(voters, {}, {}, {again}, 4));
+  const auto seats = control_plane::next_seats(voters, {"a"}, {}, {again, other}, 3);
   CHECK(seats && seats->front().store == "d" && seats->at(1).store == "b");
-  const auto own = locus::next_seats(voters, {"a", "b"}, {}, {again, other}, 3);
+  const auto own = control_plane::next_seats(voters, {"a", "b"}, {}, {again, other}, 3);
   CHECK(own && own->front().store == "a" && own->at(1).store == "x");
   // Fewer: who is gone goes; else nobody while one that stays may be lost, as then the fewer may have no
   // majority.
-  const auto fewer = locus::next_seats(voters, {"b"}, {"c"}, {}, 2);
+  const auto fewer = control_plane::next_seats(voters, {"b"}, {"c"}, {}, 2);
   CHECK(fewer && fewer->size() == 2 && fewer->at(1).store == "c");
-  CHECK_FALSE(locus::next_seats(voters, {}, {"a"}, {}, 2));
-  CHECK(locus::next_seats(voters, {}, {}, {}, 2)->at(1).store == "b");
+  CHECK_FALSE(control_plane::next_seats(voters, {}, {"a"}, {}, 2));
+  CHECK(control_plane::next_seats(voters, {}, {}, {}, 2)->at(1).store == "b");
 }
 
-TEST(Fleet, the_core_grows_to_four_and_five_and_back_to_three_and_bears_losses_at_each_size) {
+TEST(ControlPlane, the_core_grows_to_four_and_five_and_back_to_three_and_bears_losses_at_each_size) {
   for (std::uint32_t seed = 1; seed <= 6; ++seed) {
     Fleet f(3, 3, 800 + seed);
     f.net.loss_probability = 0.02;
@@ -646,32 +650,33 @@
       for (const Machine m : down) f.kill(m);
       for (auto& [m, n] : f.nodes) {
         if (!n.core || !n.up()) continue;
-        const std::string change = one_route(creed::version_text(version + 1), version % 2 ? "one" : "two");
+        const std::string change =
+            one_route(configuration::version_text(version + 1), version % 2 ? "one" : "two");
         ++version;
         CHECK_EQUAL(200, taken(f, m, What::adjust, change));
       }
       for (const Machine m : down) f.start(m);
       f.run(3 * second);
-      for (int i = 0; i < 5; ++i) CHECK(says(f, core(i), creed::version_text(version)));
+      for (int i = 0; i < 5; ++i) CHECK(says(f, core(i), configuration::version_text(version)));
     }
     CHECK(f.faults.empty());
   }
 }
 
-TEST(Fleet, an_item_that_no_datagram_carries_is_refused_and_one_just_below_reaches_all) {
+TEST(ControlPlane, an_item_that_no_datagram_carries_is_refused_and_one_just_below_reaches_all) {
   Fleet f(4, 3, 31);
   CHECK_EQUAL(200, f.settled(core(0), What::adjust, first_call("00000007")));
   const auto service = [](std::size_t bytes, const std::string& version) {
     return R"({"apply":{"targets":{"axes":["label","probe","conn_limit","protocol","tls","warmup","warmup_per_s","revision"],"records":[["three","/)" +
            std::string(bytes, 'p') + R"(",130,"h1",false,"3s",21.0,")" + version + R"("]]}}})";
   };
-  CHECK_EQUAL(413, f.settled(core(0), What::adjust, service(locus::most_item, "00000008")));
-  CHECK_EQUAL(200, f.settled(core(0), What::adjust, service(locus::most_item - 400, "00000008")));
+  CHECK_EQUAL(413, f.settled(core(0), What::adjust, service(control_plane::most_item, "00000008")));
+  CHECK_EQUAL(200, f.settled(core(0), What::adjust, service(control_plane::most_item - 400, "00000008")));
   f.run(2 * second);
   CHECK_EQUAL(7, f.with("t/three", 8));
 }
 
-TEST(Fleet, a_call_that_was_taken_is_taken_again_though_its_service_has_gone_since) {
+TEST(ControlPlane, a_call_that_was_taken_is_taken_again_though_its_service_has_gone_since) {
   Fleet f(0, 3, 17);
   CHECK_EQUAL(200, f.settled(core(0), What::adjust, first_call("00000007")));
   const std::string change = one_route("00000008", "two");
@@ -685,13 +690,14 @@
 }
 
 // Names are let go of, and what there is no room for is refused, never confirmed and lost.
-TEST(Fleet, routes_set_and_dropped_by_the_ten_thousand_leave_room_and_what_is_confirmed_is_on_each_disk) {
+TEST(ControlPlane,
+     routes_set_and_dropped_by_the_ten_thousand_leave_room_and_what_is_confirmed_is_on_each_disk) {
   Fleet f(0, 3, 18);
   CHECK_EQUAL(200, f.settled(core(0), What::adjust, first_call("00000007")));
   std::uint64_t version = 7;
   const auto calls = [&](int from, int to, bool drop) {
     std::string records;
-    const std::string v = creed::version_text(++version);
+    const std::string v = configuration::version_text(++version);
     for (int i = from; i < to; ++i)
       records += (records.empty() ? "" : ",") +
                  (drop ? R"({"label":"n)" + std::to_string(i) + R"(","revision":")" + v + R"("})"
@@ -709,7 +715,7 @@
   f.run(second);
   for (int i = 0; i < 3; ++i) {
     const Fleet::Node& n = f.nodes.at(core(i));
-    CHECK(n.creed->dropped() <= creed::Creed::most_dropped && n.creed->floor() > 0);
+    CHECK(n.creed->dropped() <= configuration::ConfigurationStore::most_dropped && n.creed->floor() > 0);
     CHECK(n.creed->digest() == f.nodes.at(core(0)).creed->digest());
     CHECK(n.disk->written.size() < 5'000);
   }
@@ -725,7 +731,7 @@
 }
 
 // Fifty pieces, a fifth of which is lost, doubled, or comes before the one that it follows.
-TEST(Fleet, a_core_that_catches_up_by_pieces_lacks_none_of_those_that_were_lost) {
+TEST(ControlPlane, a_core_that_catches_up_by_pieces_lacks_none_of_those_that_were_lost) {
   for (std::uint32_t seed = 1; seed <= 5; ++seed) {
     Fleet f(0, 3, 900 + seed);
     CHECK_EQUAL(200, taken(f, core(0), What::adjust, first_call("00000007", 1'500)));
@@ -742,20 +748,21 @@
   }
 }
 
-TEST(Fleet, new_seeds_are_asked_until_one_with_a_whole_copy_has_told_who_is_core) {
-  creed::Creed c;
-  rumour::Rumour r({1000, "z", false}, 1, {100}, c, 7);
+TEST(ControlPlane, new_seeds_are_asked_until_one_with_a_whole_copy_has_told_who_is_core) {
+  configuration::ConfigurationStore c;
+  gossip::Gossip r({1000, "z", false}, 1, {100}, c, 7);
   std::int64_t now = 0;
-  rumour::Outbox out;
+  gossip::Outbox out;
   const auto told_by = [&](Machine m, bool whole, std::vector<Machine> cores) {
-    const rumour::Told t{true, whole, c.digest(), r.roll().digest(), std::move(cores), {}, true, 0};
-    r.heard(now, m, rumour::written(rumour::kind::digest, t), out);
+    const gossip::DigestMessage t{true, whole, c.digest(), r.members().digest(), std::move(cores),
+                                  {},   true,  0};
+    r.on_datagram(now, m, gossip::written(gossip::kind::digest, t), out);
   };
   const auto asks = [&] {  // who is asked so that an answer must come
     r.tick(now += 2 * second, out);
     std::vector<Machine> to;
     for (const auto& d : std::exchange(out, {}))
-      if (const auto t = rumour::read<rumour::Told>(d.bytes); t && !t->whole) to.push_back(d.to);
+      if (const auto t = gossip::read<gossip::DigestMessage>(d.bytes); t && !t->whole) to.push_back(d.to);
     return to;
   };
   told_by(100, true, {100});
@@ -771,7 +778,7 @@
   CHECK(r.cores() == std::vector<Machine>({101, 102, 103}));
 }
 
-TEST(Fleet, idle_members_cost_bounded_bytes_that_do_not_grow_with_the_fleet) {
+TEST(ControlPlane, idle_members_cost_bounded_bytes_that_do_not_grow_with_the_fleet) {
   double cost[2];
   for (int i = 0; i < 2; ++i) {
     const int ambits = i == 0 ? 12 : 86;
@@ -788,7 +795,7 @@
 
 // 90 that come back at once must not drown a core of a tenth of a processor: what it has to read and send is
 // bounded.
-TEST(Fleet, the_return_of_ninety_at_once_costs_a_core_few_datagrams_and_all_catch_up) {
+TEST(ControlPlane, the_return_of_ninety_at_once_costs_a_core_few_datagrams_and_all_catch_up) {
   Fleet f(86, 3, 15);
   CHECK_EQUAL(200, f.settled(core(0), What::adjust, first_call("00000007", 20)));
   f.run(3 * second);
@@ -804,9 +811,9 @@
 }
 
 // Kills, wiped disks, cuts, losses, two operators: whatever is drawn within the tolerance (one counted
-// machine at a time), what was acknowledged is read back as it was sent or newer, and no node of any life
-// goes back.
-TEST(Fleet, nothing_acknowledged_is_lost_and_no_version_goes_back_under_drawn_faults) {
+// machine at a time), what was acknowledged is read back as it was sent or newer, and no node of any
+// incarnation goes back.
+TEST(ControlPlane, nothing_acknowledged_is_lost_and_no_version_goes_back_under_drawn_faults) {
   const auto play = [](int ambits, int cores, std::uint32_t seed, int rounds) {
     Fleet f(ambits, cores, seed);
     std::mt19937 chance(seed * 7 + 1);
@@ -818,14 +825,15 @@
     for (int round = 0; round < rounds; ++round) {
       const Machine hurt = core(int(chance() % std::uint32_t(cores)));
       const auto how = chance() % 4;
-      std::vector<std::pair<std::string, std::shared_ptr<std::optional<locus::Outcome>>>> calls;
+      std::vector<std::pair<std::string, std::shared_ptr<std::optional<control_plane::RequestOutcome>>>>
+          calls;
       for (int i = 0; i < 2; ++i) {
         const std::string label = "r" + std::to_string(chance() % 6);
         version += 1 + chance() % 3;
         calls.emplace_back(
             "c/" + label + "@" + std::to_string(version),
             f.order(core(int(chance() % std::uint32_t(cores))), What::adjust,
-                    one_route(creed::version_text(version), chance() % 2 ? "one" : "two", label)));
+                    one_route(configuration::version_text(version), chance() % 2 ? "one" : "two", label)));
       }
       f.run(std::int64_t(chance() % 9'000));  // struck in the midst of it
       if (how == 0) f.kill(hurt);
--- a/tests/mesh/explore.h
+++ b/tests/mesh/explore.h
@@ -1,12 +1,12 @@
 // The core's state logic explored as it is: every order of steps to a stated depth, or drawn plays; see
-// world.h for what a step is and what is held to. States are told apart by what each life has heard, what is
-// under way, what operators know.
+// world.h for what a step is and what is held to. States are told apart by what each incarnation has heard,
+// what is under way, what operators know.
 #pragma once
 
 #include <chrono>
 #include <unordered_set>
 
-#include "world.h"
+#include "simulated_world.h"
 
 namespace robinpin::mesh_test::explored {
 
--- a/tests/mesh/rumour_test.cpp
+++ b/tests/mesh/gossip_test.cpp
@@ -1,18 +1,18 @@
 #include <cstdlib>
 #include <functional>
 
-#include "../../src/rumour/rumour.h"
-#include "../../src/span/simulated_network.h"
+#include "../../src/gossip/gossip.h"
+#include "../../src/transport/simulated_network.h"
 #include "help.h"
 
 #include <CppUTest/TestHarness.h>
 
 using namespace robinpin;
-using rumour::Machine;
+using gossip::Machine;
 
 namespace {
 constexpr std::int64_t second = 1'000'000,
-                       two_rounds = 2 * (rumour::Rumour::round * 11 / 10 + 50'000) + 50'000;
+                       two_rounds = 2 * (gossip::Gossip::round * 11 / 10 + 50'000) + 50'000;
 constexpr std::int64_t converge = 2'500'000;            // the shortest that operators ask for
 constexpr std::size_t default_socket_buffer = 212'992;  // net.core.rmem_default
 Machine core(int i) { return 100 + Machine(i); }
@@ -23,18 +23,18 @@
 struct Town {
   struct Node {
     bool core = false;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     std::size_t taken = 0;  // changes, at a core
-    std::unique_ptr<creed::Creed> creed;
-    std::unique_ptr<rumour::Rumour> rumour;
-    std::unique_ptr<span::SimulatedTransport> span;
+    std::unique_ptr<configuration::ConfigurationStore> creed;
+    std::unique_ptr<gossip::Gossip> rumour;
+    std::unique_ptr<transport::SimulatedTransport> span;
     std::map<std::string, std::uint64_t>
-        lost;  // names that went without a tombstone in this life, with their numbers
+        lost;  // names that went without a tombstone in this incarnation, with their numbers
     std::map<std::string, std::uint64_t> held;
     std::uint64_t looked = 0;
   };
   struct Change {
-    creed::Item item;
+    configuration::VersionedItem item;
     std::uint64_t floor = 0;  // instead of an item: let go of up to there
   };
   Town(int ambits, int cores, std::uint32_t seed) : net(seed), chance(seed ^ 5) {
@@ -42,26 +42,26 @@
     for (int i = 0; i < ambits; ++i) nodes[ambit(i)];
     for (auto& [m, n] : nodes) start(m);
   }
-  creed::Creed& creed(Machine m) { return *nodes.at(m).creed; }
-  rumour::Rumour& rumour(Machine m) { return *nodes.at(m).rumour; }
+  configuration::ConfigurationStore& creed(Machine m) { return *nodes.at(m).creed; }
+  gossip::Gossip& rumour(Machine m) { return *nodes.at(m).rumour; }
 
   void start(Machine m) {
     Node& n = nodes.at(m);
     std::vector<Machine> seeds;
     for (const auto& [c, x] : nodes)
       if (x.core) seeds.push_back(c);
-    n.creed = std::make_unique<creed::Creed>();
+    n.creed = std::make_unique<configuration::ConfigurationStore>();
     n.rumour =
-        std::make_unique<rumour::Rumour>(rumour::Self{m, std::string("zone-") + char('a' + m % 3), n.core},
-                                         ++n.life, seeds, *n.creed, chance());
+        std::make_unique<gossip::Gossip>(gossip::Self{m, std::string("zone-") + char('a' + m % 3), n.core},
+                                         ++n.incarnation, seeds, *n.creed, chance());
     n.rumour->whole(n.core);
-    n.span = std::make_unique<span::SimulatedTransport>(net, m);
+    n.span = std::make_unique<transport::SimulatedTransport>(net, m);
     n.span->set_handler([this, m](Machine from, std::string_view bytes) {
-      act(m, [&](rumour::Outbox& out) { nodes.at(m).rumour->heard(net.now, from, bytes, out); });
+      act(m, [&](gossip::Outbox& out) { nodes.at(m).rumour->on_datagram(net.now, from, bytes, out); });
     });
     n.lost.clear(), n.held.clear(), n.looked = 0;
     if (n.core) n.taken = 0, catch_up(m);
-    act(m, [&](rumour::Outbox& out) { n.rumour->state(net.now, {}, out); });
+    act(m, [&](gossip::Outbox& out) { n.rumour->state(net.now, {}, out); });
   }
   void kill(Machine m) { nodes.at(m).rumour.reset(), nodes.at(m).creed.reset(), nodes.at(m).span.reset(); }
   void catch_up(Machine m) {
@@ -79,26 +79,27 @@
   // Settled by the cores that are not stale, and told of by one of them.
   std::uint64_t settle(const std::string& name, bool dropped = false, const std::string& text = "{}",
                        bool spreads = true) {
-    const creed::Item* held = settled.find(name);
-    const creed::Item i{name, held ? held->version + 1 : 1, dropped, dropped ? "" : text, ++number};
+    const configuration::VersionedItem* held = settled.find(name);
+    const configuration::VersionedItem i{name, held ? held->version + 1 : 1, dropped, dropped ? "" : text,
+                                         ++number};
     settled.take(i), changes.push_back({i}), catch_up();
     for (auto& [m, n] : nodes)
       if (spreads && n.core && n.creed && !stale.contains(m)) {
-        act(m, [&](rumour::Outbox& out) { n.rumour->spread({i}, out); });
+        act(m, [&](gossip::Outbox& out) { n.rumour->spread({i}, out); });
         break;
       }
     return number;
   }
   // One call's: told of by one core in pieces.
   void settle_at_once(const std::string& prefix, int count, const std::string& text, bool spreads = true) {
-    std::vector<creed::Item> items;
+    std::vector<configuration::VersionedItem> items;
     ++number;
     for (int i = 0; i < count; ++i) {
       items.push_back({prefix + std::to_string(i), number, false, text, number});
       settled.take(items.back()), changes.push_back({items.back()});
     }
     catch_up();
-    if (spreads) act(core(0), [&](rumour::Outbox& out) { nodes.at(core(0)).rumour->spread(items, out); });
+    if (spreads) act(core(0), [&](gossip::Outbox& out) { nodes.at(core(0)).rumour->spread(items, out); });
   }
   void let_go(std::uint64_t floor) {
     if (floor <= settled.floor()) return;
@@ -115,7 +116,7 @@
     for (const std::int64_t until = net.now + span; net.now < until;) {
       net.advance_to(std::min(until, net.now + 50'000));
       for (auto& [m, n] : nodes)
-        if (n.rumour) act(m, [&, r = n.rumour.get()](rumour::Outbox& out) { r->tick(net.now, out); });
+        if (n.rumour) act(m, [&, r = n.rumour.get()](gossip::Outbox& out) { r->tick(net.now, out); });
     }
   }
   bool agree() const {
@@ -130,26 +131,26 @@
     return count;
   }
 
-  span::SimulatedNetwork net;
+  transport::SimulatedNetwork net;
   std::map<Machine, Node> nodes;
   std::set<Machine> stale;  // cores that take no changes
-  creed::Creed settled;
+  configuration::ConfigurationStore settled;
   std::vector<Change> changes;
   std::uint64_t number = 0;
   std::mt19937 chance;
-  std::map<rumour::kind, std::uint64_t> sent;
+  std::map<gossip::kind, std::uint64_t> sent;
   std::vector<std::string> faults;  // what may never be
   bool watches = true;              // over what ambits hold
 
  private:
   template <typename F>
   void act(Machine m, const F& f) {
-    rumour::Outbox out;
+    gossip::Outbox out;
     f(out);
     Node& n = nodes.at(m);
     for (const auto& d : out) {
-      if (d.bytes.size() > rumour::longest_datagram) faults.push_back("a datagram too long to be taken");
-      ++sent[rumour::kind_of(d.bytes)];
+      if (d.bytes.size() > gossip::longest_datagram) faults.push_back("a datagram too long to be taken");
+      ++sent[gossip::kind_of(d.bytes)];
       n.span->send(d.to, d.bytes);
     }
     if (watches && !n.core && std::exchange(n.looked, n.creed->changes()) != n.creed->changes()) look(m, n);
@@ -168,20 +169,20 @@
       if (const auto it = n.lost.find(name); it != n.lost.end() && i.at <= it->second)
         fault("came back", name);
       // Held at or below its own floor: it was not let go of up to there.
-      const creed::Item* now = settled.find(name);
+      const configuration::VersionedItem* now = settled.find(name);
       if (i.at <= n.creed->floor() && (!now || now->at < i.at) && n.creed->floor() >= settled.floor())
         fault("let go of, and held", name);
     }
     for (const auto& [name, i] : settled.items())
       if (i.at <= n.creed->floor())
-        if (const creed::Item* own = n.creed->find(name); !own || own->at < i.at)
+        if (const configuration::VersionedItem* own = n.creed->find(name); !own || own->at < i.at)
           fault("below its floor, and not held", name);
   }
 };
 
-rumour::Record record_of(Machine m, const std::string& zone = "z") {
-  rumour::Record r;
-  r.machine = m, r.life = r.word = 1, r.zone = zone;
+gossip::MemberRecord record_of(Machine m, const std::string& zone = "z") {
+  gossip::MemberRecord r;
+  r.machine = m, r.incarnation = r.sequence = 1, r.zone = zone;
   return r;
 }
 
@@ -191,16 +192,16 @@
       : net(seed), silent(std::size_t(members)), bound(silent) {
     std::vector<Machine> all;
     for (int i = 0; i < cores; ++i) all.push_back(core(i));
-    rumour::Outbox out;
+    gossip::Outbox out;
     for (const Machine m : all) {
-      auto& r = cores_[m] = std::make_unique<rumour::Rumour>(rumour::Self{m, "z", true}, 1, all, creed, m);
+      auto& r = cores_[m] = std::make_unique<gossip::Gossip>(gossip::Self{m, "z", true}, 1, all, creed, m);
       r->state(0, {}, out);
-      rumour::News news;
+      gossip::UpdateMessage news;
       for (int i = 0; i < members; ++i)
         if (news.records.push_back(record_of(ambit(i))); news.records.size() == 100 || i + 1 == members)
-          r->heard(0, 1, rumour::written(rumour::kind::news, std::exchange(news, {})), out);
+          r->on_datagram(0, 1, gossip::written(gossip::kind::news, std::exchange(news, {})), out);
       net.handlers[m] = [this, m](Machine from, std::string_view bytes) {
-        act(m, [&](rumour::Outbox& o) { cores_.at(m)->heard(net.now, from, bytes, o); });
+        act(m, [&](gossip::Outbox& o) { cores_.at(m)->on_datagram(net.now, from, bytes, o); });
       };
     }
   }
@@ -208,13 +209,13 @@
     for (const std::int64_t until = net.now + span; net.now < until;) {
       net.advance_to(net.now + 50'000);
       for (auto& [m, r] : cores_)
-        if (net.handlers.contains(m)) act(m, [&](rumour::Outbox& o) { r->tick(net.now, o); });
+        if (net.handlers.contains(m)) act(m, [&](gossip::Outbox& o) { r->tick(net.now, o); });
       const auto step = std::size_t(net.now / 50'000);
       std::vector<std::string> bytes;
       for (auto& [m, r] : cores_)
-        bytes.push_back(
-            rumour::written(rumour::kind::digest,
-                            rumour::Told{false, true, creed.digest(), r->roll().digest(), {}, {}, false, 0}));
+        bytes.push_back(gossip::written(
+            gossip::kind::digest,
+            gossip::DigestMessage{false, true, creed.digest(), r->members().digest(), {}, {}, false, 0}));
       for (std::size_t i = step % 10; i < silent.size(); i += 10)
         if (const std::size_t turn = (i / 10 + step / 10) % bytes.size();
             !silent[i] && (!bound[i] || turn == 0)) {
@@ -226,77 +227,79 @@
         }
     }
   }
-  std::size_t lapsed(Machine at) const {
+  std::size_t expired(Machine at) const {
     std::size_t count = 0;
-    for (const auto& [m, e] : cores_.at(at)->roll().entries()) count += m >= ambit(0) && e.record.lapsed;
+    for (const auto& [m, e] : cores_.at(at)->members().entries()) count += m >= ambit(0) && e.record.expired;
     return count;
   }
-  std::size_t lapsed() const {
+  std::size_t expired() const {
     std::size_t count = 0;
     for (const auto& [m, r] : cores_)
-      if (net.handlers.contains(m)) count += lapsed(m);
+      if (net.handlers.contains(m)) count += expired(m);
     return count;
   }
-  span::SimulatedNetwork net;
+  transport::SimulatedNetwork net;
   std::vector<bool> silent, bound;  // by member; to the first core
   std::size_t longest = 0, most_leases = 0, strangers = 0, leases_told = 0;
 
  private:
   template <typename F>
   void act(Machine m, const F& f) {
-    rumour::Outbox out;
+    gossip::Outbox out;
     f(out);
     for (const auto& d : out) {
       longest = std::max(longest, d.bytes.size());
-      if (rumour::kind_of(d.bytes) == rumour::kind::digest)
-        if (const auto t = rumour::read<rumour::Told>(d.bytes)) {
+      if (gossip::kind_of(d.bytes) == gossip::kind::digest)
+        if (const auto t = gossip::read<gossip::DigestMessage>(d.bytes)) {
           most_leases = std::max(most_leases, t->leases.size());
           for (const auto& l : t->leases)
-            strangers += !cores_.at(m)->roll().find(l.machine), leases_told += l.machine >= ambit(0);
+            strangers += !cores_.at(m)->members().find(l.machine), leases_told += l.machine >= ambit(0);
         }
       net.send(m, d.to, d.bytes);
     }
   }
-  creed::Creed creed;
-  std::map<Machine, std::unique_ptr<rumour::Rumour>> cores_;
+  configuration::ConfigurationStore creed;
+  std::map<Machine, std::unique_ptr<gossip::Gossip>> cores_;
 };
 }  // namespace
 
-TEST_GROUP(Rumour){};
+TEST_GROUP(Gossip){};
 
-TEST(Rumour, a_core_takes_the_records_of_rumours_but_no_items_and_lists_none_that_it_lacks) {
-  creed::Creed held, others;
+TEST(Gossip, a_core_takes_the_records_of_rumours_but_no_items_and_lists_none_that_it_lacks) {
+  configuration::ConfigurationStore held, others;
   held.take({"c/a", 1, false, "{}", 1}), others.take({"c/a", 2, false, "{}", 4}),
       others.take({"c/b", 1, false, "{}", 5});
-  rumour::Rumour r({core(0), "z", true}, 1, {core(0), core(1)}, held, 7);
+  gossip::Gossip r({core(0), "z", true}, 1, {core(0), core(1)}, held, 7);
   r.whole(true);
-  rumour::Outbox out;
-  r.heard(0, ambit(0),
-          rumour::written(rumour::kind::news,
-                          rumour::News{{*others.find("c/a"), *others.find("c/b")}, {record_of(ambit(0))}, 0}),
-          out);
+  gossip::Outbox out;
+  r.on_datagram(0, ambit(0),
+                gossip::written(gossip::kind::news,
+                                gossip::UpdateMessage{
+                                    {*others.find("c/a"), *others.find("c/b")}, {record_of(ambit(0))}, 0}),
+                out);
   CHECK(held.find("c/a")->at == 1 && !held.find("c/b"));
-  CHECK(r.roll().find(ambit(0)));
+  CHECK(r.members().find(ambit(0)));
   out.clear();
-  rumour::Listing l;
+  gossip::ListingMessage l;
   l.of.items = 0xffff;
-  for (const auto& [name, i] : others.items()) l.items.push_back({creed::hashed(name), i.at, i.version});
-  r.heard(0, ambit(0), rumour::written(rumour::kind::listing, l), out);
+  for (const auto& [name, i] : others.items())
+    l.items.push_back({configuration::hashed(name), i.at, i.version});
+  r.on_datagram(0, ambit(0), gossip::written(gossip::kind::listing, l), out);
   CHECK(out.empty());
   l.items.clear();  // who has nothing gets what it lacks
-  r.heard(0, ambit(0), rumour::written(rumour::kind::listing, l), out);
+  r.on_datagram(0, ambit(0), gossip::written(gossip::kind::listing, l), out);
   CHECK_EQUAL(1, out.size());
-  CHECK(rumour::read<rumour::News>(out[0].bytes)->items.at(0) == *held.find("c/a"));
+  CHECK(gossip::read<gossip::UpdateMessage>(out[0].bytes)->items.at(0) == *held.find("c/a"));
 }
 
-TEST(Rumour, a_node_is_caught_up_by_one_core_that_is_whole_and_by_no_other_word) {
-  creed::Creed c;
-  rumour::Rumour r({ambit(0), "z", false}, 1, {core(0), core(1), core(2)}, c, 7);
-  rumour::Outbox out;
+TEST(Gossip, a_node_is_caught_up_by_one_core_that_is_whole_and_by_no_other_word) {
+  configuration::ConfigurationStore c;
+  gossip::Gossip r({ambit(0), "z", false}, 1, {core(0), core(1), core(2)}, c, 7);
+  gossip::Outbox out;
   const auto told = [&](Machine m, bool of_core, bool whole, std::uint64_t other) {
-    rumour::Told t{true, whole, c.digest(), r.roll().digest(), {}, {}, of_core, 0};
+    gossip::DigestMessage t{true, whole, c.digest(), r.members().digest(), {}, {}, of_core, 0};
     t.items[3] ^= other;
-    r.heard(0, m, rumour::written(rumour::kind::digest, t), out);
+    r.on_datagram(0, m, gossip::written(gossip::kind::digest, t), out);
     return r.caught_up();
   };
   for (std::int64_t now = 0; now < 20 * second; now += 100'000) r.tick(now, out);
@@ -307,23 +310,24 @@
   CHECK(told(core(0), true, true, 1));  // what was caught up stays so
 }
 
-TEST(Rumour, new_seeds_are_asked_until_one_with_a_whole_copy_has_told_who_is_core) {
-  creed::Creed c;
-  rumour::Rumour r({1000, "z", false}, 1, {100}, c, 7);
+TEST(Gossip, new_seeds_are_asked_until_one_with_a_whole_copy_has_told_who_is_core) {
+  configuration::ConfigurationStore c;
+  gossip::Gossip r({1000, "z", false}, 1, {100}, c, 7);
   std::int64_t now = 0;
-  rumour::Outbox out;
+  gossip::Outbox out;
   const auto told_by = [&](Machine m, bool whole, std::vector<Machine> cores) {
-    r.heard(now, m,
-            rumour::written(
-                rumour::kind::digest,
-                rumour::Told{true, whole, c.digest(), r.roll().digest(), std::move(cores), {}, true, 0}),
-            out);
+    r.on_datagram(
+        now, m,
+        gossip::written(gossip::kind::digest,
+                        gossip::DigestMessage{
+                            true, whole, c.digest(), r.members().digest(), std::move(cores), {}, true, 0}),
+        out);
   };
   const auto asks = [&] {  // who is asked so that an answer must come
     r.tick(now += 2 * second, out);
     std::vector<Machine> to;
     for (const auto& d : std::exchange(out, {}))
-      if (const auto t = rumour::read<rumour::Told>(d.bytes); t && !t->whole) to.push_back(d.to);
+      if (const auto t = gossip::read<gossip::DigestMessage>(d.bytes); t && !t->whole) to.push_back(d.to);
     return to;
   };
   told_by(100, true, {100});
@@ -339,15 +343,16 @@
   CHECK(r.cores() == std::vector<Machine>({101, 102, 103}));
 }
 
-TEST(Rumour, who_is_core_is_believed_by_its_epoch_whoever_tells_and_who_is_behind_is_told) {
-  creed::Creed c;
-  rumour::Rumour r({ambit(0), "z", false}, 1, {core(0)}, c, 7);
-  rumour::Outbox out;
+TEST(Gossip, who_is_core_is_believed_by_its_epoch_whoever_tells_and_who_is_behind_is_told) {
+  configuration::ConfigurationStore c;
+  gossip::Gossip r({ambit(0), "z", false}, 1, {core(0)}, c, 7);
+  gossip::Outbox out;
   const auto told = [&](Machine m, bool whole, std::uint64_t epoch, std::vector<Machine> cores) {
     out.clear();
-    rumour::Told t{false, whole, c.digest(), r.roll().digest(), std::move(cores), {}, m < 1000, 0, epoch};
-    r.heard(0, m, rumour::written(rumour::kind::digest, t), out);
-    return out.empty() ? std::uint64_t(0) : rumour::read<rumour::Told>(out.at(0).bytes)->epoch;
+    gossip::DigestMessage t{false,    whole, c.digest(), r.members().digest(), std::move(cores), {},
+                            m < 1000, 0,     epoch};
+    r.on_datagram(0, m, gossip::written(gossip::kind::digest, t), out);
+    return out.empty() ? std::uint64_t(0) : gossip::read<gossip::DigestMessage>(out.at(0).bytes)->epoch;
   };
   const std::vector<Machine> older{core(0), core(1), core(2)}, newer{core(0), core(1), core(9)},
       wrong{core(5)};
@@ -358,7 +363,7 @@
   CHECK(told(core(2), true, 4, older) == 5 && r.cores() == newer);
 }
 
-TEST(Rumour, a_node_that_begins_beside_a_core_that_is_not_whole_is_not_ready_until_it_meets_one_that_is) {
+TEST(Gossip, a_node_that_begins_beside_a_core_that_is_not_whole_is_not_ready_until_it_meets_one_that_is) {
   Town t(3, 3, 1);
   for (int i = 0; i < 40; ++i) t.settle("c/" + std::to_string(i));
   t.run(2 * second);
@@ -374,7 +379,7 @@
   CHECK(t.rumour(ambit(0)).caught_up());
 }
 
-TEST(Rumour, who_begins_before_the_core_is_caught_up_soon_after_it_has_come) {
+TEST(Gossip, who_begins_before_the_core_is_caught_up_soon_after_it_has_come) {
   for (std::uint32_t seed = 1; seed <= 40; ++seed) {
     Town t(1, 3, seed);
     t.cut_off(ambit(0));
@@ -388,7 +393,7 @@
 }
 
 // Away for longer than dropped names are known, with a route that stood as it went.
-TEST(Rumour, what_was_dropped_and_let_go_of_meanwhile_is_lost_within_two_rounds_and_never_handed_back) {
+TEST(Gossip, what_was_dropped_and_let_go_of_meanwhile_is_lost_within_two_rounds_and_never_handed_back) {
   for (std::uint32_t seed = 1; seed <= 40; ++seed) {
     const int routes = seed % 2 ? 4 : 300;  // few are sent without a listing
     Town t(6, 3, seed);
@@ -425,51 +430,55 @@
   }
 }
 
-TEST(Rumour, names_let_go_of_cost_no_listing_of_items_and_all_agree_after_two_rounds) {
+TEST(Gossip, names_let_go_of_cost_no_listing_of_items_and_all_agree_after_two_rounds) {
   Town t(10, 3, 3);
   for (std::size_t i = 0; i < 300; ++i) t.settle("c/" + std::to_string(i), i % 2 == 0, "{}", false);
   t.run(4 * second);
   CHECK(t.agree());
-  const auto before = t.sent[rumour::kind::listing];
+  const auto before = t.sent[gossip::kind::listing];
   t.let_go(200);
   t.run(two_rounds);
   CHECK(t.agree());
   t.run(5 * second);
-  CHECK_EQUAL(before, t.sent[rumour::kind::listing]);
+  CHECK_EQUAL(before, t.sent[gossip::kind::listing]);
 }
 
-TEST(Rumour, who_hears_of_a_higher_floor_lists_only_where_more_than_old_tombstones_differ) {
-  creed::Creed own, theirs;
-  for (const creed::Item& i : {creed::Item{"c/a", 1, false, "{}", 6}, creed::Item{"c/b", 1, false, "{}", 7}})
+TEST(Gossip, who_hears_of_a_higher_floor_lists_only_where_more_than_old_tombstones_differ) {
+  configuration::ConfigurationStore own, theirs;
+  for (const configuration::VersionedItem& i : {configuration::VersionedItem{"c/a", 1, false, "{}", 6},
+                                                configuration::VersionedItem{"c/b", 1, false, "{}", 7}})
     own.take(i), theirs.take(i);
   for (int i = 0; own.dropped() < 2; ++i)  // one of them in the part that differs
     if (const std::string name = "c/gone" + std::to_string(i);
-        (creed::part_of(name) == creed::part_of("c/new")) == (own.dropped() == 0))
+        (configuration::part_of(name) == configuration::part_of("c/new")) == (own.dropped() == 0))
       own.take({name, 2, true, "", 5});
   theirs.let_go(8), theirs.take({"c/new", 1, false, "{}", 12});
-  rumour::Rumour r({ambit(0), "z", false}, 1, {core(0)}, own, 7);
-  rumour::Outbox out;
+  gossip::Gossip r({ambit(0), "z", false}, 1, {core(0)}, own, 7);
+  gossip::Outbox out;
   const auto told = [&](Machine m, bool of_core) {
     out.clear();
-    r.heard(0, m,
-            rumour::written(rumour::kind::digest,
-                            rumour::Told{true, true, theirs.digest(), r.roll().digest(), {}, {}, of_core, 8}),
-            out);
+    r.on_datagram(0, m,
+                  gossip::written(gossip::kind::digest,
+                                  gossip::DigestMessage{
+                                      true, true, theirs.digest(), r.members().digest(), {}, {}, of_core, 8}),
+                  out);
     std::vector<std::uint64_t> listed;
     for (const auto& d : out)
-      if (const auto l = rumour::read<rumour::Listing>(d.bytes);
-          l && rumour::kind_of(d.bytes) == rumour::kind::listing)
+      if (const auto l = gossip::read<gossip::ListingMessage>(d.bytes);
+          l && gossip::kind_of(d.bytes) == gossip::kind::listing)
         for (const auto& i : l->items) listed.push_back(i.at);
     return listed;
   };
   std::vector<std::uint64_t> of_part;
-  for (const auto& i : theirs.part(creed::part_of("c/new")))
+  for (const auto& i : theirs.part(configuration::part_of("c/new")))
     if (i.at < 12) of_part.push_back(i.at);
   CHECK(told(core(0), true) == of_part && out.size() == 1);
   own.take(*theirs.find("c/new"));
   out.clear();
-  r.heard(0, core(0),
-          rumour::written(rumour::kind::listing, rumour::Listing{true, true, 0, {0, 0xffff}, {}, {}}), out);
+  r.on_datagram(
+      0, core(0),
+      gossip::written(gossip::kind::listing, gossip::ListingMessage{true, true, 0, {0, 0xffff}, {}, {}}),
+      out);
   CHECK(out.empty());  // a core takes no items
   CHECK(told(ambit(1), false).empty() && out.empty() &&
         own.floor() == 0);  // a member's word: nothing to be said, nothing let go of
@@ -477,7 +486,7 @@
   CHECK(own.items() == theirs.items() && r.caught_up());
 }
 
-TEST(Rumour, a_stale_core_takes_nothing_that_was_set_since_and_still_what_was_gone_by_then) {
+TEST(Gossip, a_stale_core_takes_nothing_that_was_set_since_and_still_what_was_gone_by_then) {
   Town t(1, 2, 4);
   t.cut_off(ambit(0));
   t.settle("c/set-again"), t.settle("c/gone"), t.settle("c/stays");
@@ -495,7 +504,7 @@
         t.creed(ambit(0)).stands("c/late19"));
 }
 
-TEST(Rumour, thousands_of_items_are_taken_and_let_go_of_by_listings_in_pieces_that_each_fit_a_datagram) {
+TEST(Gossip, thousands_of_items_are_taken_and_let_go_of_by_listings_in_pieces_that_each_fit_a_datagram) {
   Town t(2, 3, 5);
   for (int i = 0; i < 2'500; ++i) t.settle("c/" + std::to_string(i), false, "{}", false);
   t.run(3 * second);
@@ -514,7 +523,7 @@
   for (const auto& f : t.faults) FAIL(f.c_str());
 }
 
-TEST(Rumour, a_node_with_ten_thousand_items_to_take_is_ready_though_its_socket_holds_a_dozen_datagrams) {
+TEST(Gossip, a_node_with_ten_thousand_items_to_take_is_ready_though_its_socket_holds_a_dozen_datagrams) {
   Town t(3, 3, 11);
   t.watches = false;
   t.net.socket_buffer_bytes = default_socket_buffer;
@@ -540,7 +549,7 @@
   CHECK(first < 15 * second && restarted < 15 * second && changed < 15 * second);
 }
 
-TEST(Rumour, a_call_of_1400_routes_is_everywhere_within_converge_though_sockets_overflow) {
+TEST(Gossip, a_call_of_1400_routes_is_everywhere_within_converge_though_sockets_overflow) {
   std::int64_t longest = 0;
   for (std::uint32_t seed = 1; seed <= 10; ++seed) {
     Town t(seed % 2 ? 3 : 24, 3, seed);
@@ -558,7 +567,7 @@
   CHECK(longest < converge / 2);  // the other half is for busy processors and real networks
 }
 
-TEST(Rumour, a_gap_is_mended_though_items_never_cease_to_come_by_the_hundred) {
+TEST(Gossip, a_gap_is_mended_though_items_never_cease_to_come_by_the_hundred) {
   Town t(3, 3, 8);
   t.watches = false;
   for (int i = 0; i < 200; ++i) t.settle("c/" + std::to_string(i), false, "{}");
@@ -576,7 +585,7 @@
   CHECK_FALSE(t.creed(ambit(0)).stands("c/0"));
 }
 
-TEST(Rumour, what_nobody_told_a_node_it_learns_within_converge_though_two_of_five_cores_are_out_of_reach) {
+TEST(Gossip, what_nobody_told_a_node_it_learns_within_converge_though_two_of_five_cores_are_out_of_reach) {
   std::int64_t longest = 0;
   for (std::uint32_t seed = 1; seed <= 40; ++seed) {
     Town t(1, 5, seed);  // no other member that could tell it
@@ -596,58 +605,59 @@
   CHECK(longest < converge);
 }
 
-TEST(Rumour, of_6000_members_none_lapses_while_a_twentieth_is_lost_and_none_stays_that_is_silent) {
+TEST(Gossip, of_6000_members_none_lapses_while_a_twentieth_is_lost_and_none_stays_that_is_silent) {
   for (const auto& [members, cores] : {std::pair(6'000, 3), std::pair(1'200, 7)}) {
     Leases l(members, cores, 6);
     l.net.loss_probability = 0.05;
     for (std::size_t i = 0; i < 300; ++i)
       l.bound[i] = true;  // heard by one core alone, in its turn: the others are told
     l.run(9 * second);
-    CHECK_EQUAL(0, l.lapsed());
+    CHECK_EQUAL(0, l.expired());
     l.net.blocked_links = {{core(0), core(1)}, {core(1), core(0)}};  // and one of those by a third only
     l.run(6 * second);
-    CHECK_EQUAL(0, l.lapsed());
+    CHECK_EQUAL(0, l.expired());
     l.net.blocked_links.clear();
     l.net.handlers.erase(core(2));  // one is down, and is told in its turn all the same
     l.run(6 * second);
-    CHECK_EQUAL(0, l.lapsed());
+    CHECK_EQUAL(0, l.expired());
     for (std::size_t i = 0; i < 50; ++i) l.silent[300 + 10 * i] = true;
     l.net.send(9'999, core(0),
-               rumour::written(rumour::kind::digest, rumour::Told()));  // whose record nobody has
-    l.run(rumour::Rumour::lease_term - 2 * second);
-    CHECK_EQUAL(0, l.lapsed());
-    l.run(2 * second + 4 * rumour::Rumour::round);
-    for (int i = 0; i < 2; ++i) CHECK_EQUAL(50, l.lapsed(core(i)));
-    CHECK(l.longest < 20'000 && l.longest < rumour::longest_datagram &&
-          l.most_leases <= rumour::leases_at_once);
+               gossip::written(gossip::kind::digest, gossip::DigestMessage()));  // whose record nobody has
+    l.run(gossip::Gossip::lease_term - 2 * second);
+    CHECK_EQUAL(0, l.expired());
+    l.run(2 * second + 4 * gossip::Gossip::round);
+    for (int i = 0; i < 2; ++i) CHECK_EQUAL(50, l.expired(core(i)));
+    CHECK(l.longest < 20'000 && l.longest < gossip::longest_datagram &&
+          l.most_leases <= gossip::leases_at_once);
     CHECK_EQUAL(0, l.strangers);
     l.silent.assign(l.silent.size(), true);
-    l.run(8 * rumour::Rumour::round);
+    l.run(8 * gossip::Gossip::round);
     l.leases_told = 0;
-    l.run(2 * rumour::Rumour::round);
+    l.run(2 * gossip::Gossip::round);
     CHECK_EQUAL(0, l.leases_told);  // each was told of in a few rounds, and no more
   }
 }
 
-TEST(Rumour, a_member_renews_its_lease_at_each_core_in_turn) {
-  creed::Creed c;
-  rumour::Rumour r({ambit(0), "z", false}, 1, {core(0), core(1), core(2), core(3)}, c, 7);
-  rumour::Outbox out;
-  r.heard(0, core(0),
-          rumour::written(rumour::kind::digest,
-                          rumour::Told{true, true, c.digest(), r.roll().digest(), {}, {}, true, 0}),
-          out);
+TEST(Gossip, a_member_renews_its_lease_at_each_core_in_turn) {
+  configuration::ConfigurationStore c;
+  gossip::Gossip r({ambit(0), "z", false}, 1, {core(0), core(1), core(2), core(3)}, c, 7);
+  gossip::Outbox out;
+  r.on_datagram(
+      0, core(0),
+      gossip::written(gossip::kind::digest,
+                      gossip::DigestMessage{true, true, c.digest(), r.members().digest(), {}, {}, true, 0}),
+      out);
   std::map<Machine, std::int64_t> asked;
   for (std::int64_t now = 0; now < 60 * second; now += 100'000) {
     r.tick(now, out);
     for (const auto& d : std::exchange(out, {})) asked[d.to] = now;
-    for (const auto& [m, at] : asked) CHECK(now - at <= 4 * (rumour::Rumour::round * 11 / 10 + 100'000));
+    for (const auto& [m, at] : asked) CHECK(now - at <= 4 * (gossip::Gossip::round * 11 / 10 + 100'000));
   }
   CHECK_EQUAL(4, asked.size());
 }
 
-TEST(Rumour, whoever_draws_from_a_lot_draws_each_alike_and_never_the_one_left_out) {
-  rumour::Lot lot;
+TEST(Gossip, whoever_draws_from_a_lot_draws_each_alike_and_never_the_one_left_out) {
+  gossip::PeerSampler lot;
   for (Machine m = 0; m < 30; ++m) lot.put(m, true), lot.put(m, true);
   for (Machine m = 0; m < 30; m += 3) lot.put(m, false), lot.put(m, false);
   CHECK_EQUAL(20, lot.size());
@@ -663,17 +673,19 @@
   CHECK_EQUAL(19, lot.draw(99, 7, chance).size());
 }
 
-TEST(Rumour, news_goes_to_two_of_the_own_zone_and_one_across_and_to_nobody_who_has_lapsed_or_leaves) {
-  creed::Creed c;
-  rumour::Rumour r({ambit(0), "z", false}, 1, {core(0)}, c, 7);
-  rumour::Outbox out;
-  const auto hears = [&](rumour::Record record) {
-    r.heard(0, core(0), rumour::written(rumour::kind::news, rumour::News{{}, {std::move(record)}, 0}), out);
+TEST(Gossip, news_goes_to_two_of_the_own_zone_and_one_across_and_to_nobody_who_has_lapsed_or_leaves) {
+  configuration::ConfigurationStore c;
+  gossip::Gossip r({ambit(0), "z", false}, 1, {core(0)}, c, 7);
+  gossip::Outbox out;
+  const auto hears = [&](gossip::MemberRecord record) {
+    r.on_datagram(0, core(0),
+                  gossip::written(gossip::kind::news, gossip::UpdateMessage{{}, {std::move(record)}, 0}),
+                  out);
   };
   for (int i = 1; i <= 20; ++i) hears(record_of(ambit(i), i <= 10 ? "z" : "y"));
   for (const int i : {1, 11}) {
-    rumour::Record gone = record_of(ambit(i), i == 1 ? "z" : "y");
-    gone.word = 2, gone.lapsed = i == 1, gone.leaving = i == 11;
+    gossip::MemberRecord gone = record_of(ambit(i), i == 1 ? "z" : "y");
+    gone.sequence = 2, gone.expired = i == 1, gone.leaving = i == 11;
     hears(gone);
   }
   std::map<Machine, int> told;
@@ -688,15 +700,15 @@
   for (const auto& [m, n] : told)
     CHECK(m != ambit(1) && m != ambit(11) && std::abs(n - (m <= ambit(10) ? 2'000 : 1'000)) < 150);
   for (int i = 12; i <= 20; ++i) {
-    rumour::Record moved = record_of(ambit(i), "z");
-    moved.word = 2;
+    gossip::MemberRecord moved = record_of(ambit(i), "z");
+    moved.sequence = 2;
     hears(moved);
   }
   r.spread({{"c/a", 1, false, "{}", 1}}, out = {});
   CHECK_EQUAL(3, out.size());  // all of the own zone now
   for (int i = 2; i <= 20; ++i) {
-    rumour::Record gone = record_of(ambit(i), "z");
-    gone.word = 3, gone.leaving = true;
+    gossip::MemberRecord gone = record_of(ambit(i), "z");
+    gone.sequence = 3, gone.leaving = true;
     if (i != 4) hears(gone);
   }
   r.spread({{"c/a", 1, false, "{}", 1}}, out = {});
@@ -704,28 +716,29 @@
 }
 
 // Listings of records, too, come in pieces: only what the other lacks is sent.
-TEST(Rumour, a_roll_of_4000_is_brought_up_to_date_by_what_it_lacks_alone) {
+TEST(Gossip, a_roll_of_4000_is_brought_up_to_date_by_what_it_lacks_alone) {
   Town t(0, 2, 8);
   t.cut(core(0), core(1));
-  rumour::Outbox out;
+  gossip::Outbox out;
   for (int i = 0; i < 4'000; ++i)
     for (int c = 0; c < 2; ++c)
       if (i % 40 != c)
-        t.rumour(core(c)).heard(
-            0, 1, rumour::written(rumour::kind::news, rumour::News{{}, {record_of(ambit(i))}, 0}), out);
+        t.rumour(core(c)).on_datagram(
+            0, 1, gossip::written(gossip::kind::news, gossip::UpdateMessage{{}, {record_of(ambit(i))}, 0}),
+            out);
   t.net.blocked_links.clear();
-  const auto before = t.sent[rumour::kind::news];
+  const auto before = t.sent[gossip::kind::news];
   t.run(4 * second);
-  CHECK(t.rumour(core(0)).roll().digest() == t.rumour(core(1)).roll().digest());
-  CHECK_EQUAL(4'002, t.rumour(core(0)).roll().entries().size());
-  CHECK(t.sent[rumour::kind::news] - before <
+  CHECK(t.rumour(core(0)).members().digest() == t.rumour(core(1)).members().digest());
+  CHECK_EQUAL(4'002, t.rumour(core(0)).members().entries().size());
+  CHECK(t.sent[gossip::kind::news] - before <
         200);  // of 200 records in eights, some twice, each passed on to three
   for (const auto& f : t.faults) FAIL(f.c_str());
 }
 
 // Whatever is drawn: nothing let go of comes back to a node that has lost it, nor to one whose floor is above
 // it; all agree in the end.
-TEST(Rumour, floors_and_items_agree_after_drawn_changes_cuts_deaths_and_stale_cores) {
+TEST(Gossip, floors_and_items_agree_after_drawn_changes_cuts_deaths_and_stale_cores) {
   for (std::uint32_t seed = 1000; seed < 1100; ++seed) {
     Town t(5, 3, seed);
     std::mt19937 chance(seed);
--- a/tests/mesh/help.h
+++ b/tests/mesh/help.h
@@ -4,20 +4,20 @@
 #include <boost/leaf/handle_errors.hpp>
 #include <string>
 
-#include "../../src/trove/error.h"
+#include "../../src/storage/error.h"
 
 namespace robinpin::mesh_test {
 
 // The value, or a text of the trouble.
 template <typename T>
-std::string trouble_of(const std::function<trove::result<T>()>& f) {
+std::string trouble_of(const std::function<storage::result<T>()>& f) {
   return boost::leaf::try_handle_all(
-      [&]() -> trove::result<std::string> {
+      [&]() -> storage::result<std::string> {
         BOOST_LEAF_CHECK(f());
         return std::string();
       },
-      [](const trove::Error& t) {
-        return trove::to_string(t.step) + std::string("|") + t.peer + "|" + t.reason;
+      [](const storage::Error& t) {
+        return storage::to_string(t.step) + std::string("|") + t.peer + "|" + t.reason;
       },
       [] { return std::string("unknown"); });
 }
--- a/tests/mesh/mesh_processes.h
+++ b/tests/mesh/mesh_processes.h
@@ -5,7 +5,7 @@
 #include <set>
 
 #include "../../src/net/listening.h"
-#include "../../src/port/port.h"
+#include "../../src/rpc/server.h"
 #include "processes.h"
 
 namespace robinpin::mesh_test {
@@ -27,7 +27,7 @@
     node::listen_at(acceptor_, node::endpoint_of(address_), 512);
     asio::co_spawn(
         loop.io,
-        port::accept(acceptor_, loop.sockets, message_limits, [this](auto c) { return serve(std::move(c)); }),
+        rpc::accept(acceptor_, loop.sockets, message_limits, [this](auto c) { return serve(std::move(c)); }),
         asio::detached);
     asio::co_spawn(loop.io, send_heartbeats(), asio::detached);
   }
@@ -72,7 +72,7 @@
       const bool lasts = c->in.target().ends_with("/long");
       const std::string piece(lasts ? piece_size : 100, 'x');
       const std::string head = fmt::format(
-          "HTTP/1.1 200 OK\r\nX-Answering-Instance: i-{0}\r\nX-Attempt-Id: {1}\r\nX-Server-Seal: "
+          "HTTP/1.1 200 OK\r\nX-ConsensusReply-Instance: i-{0}\r\nX-Attempt-Id: {1}\r\nX-Server-Seal: "
           "{2}.{3}\r\nContent-Length: {4}\r\n\r\n",
           address_.substr(0, address_.find(':')), id, service_, c->in.body().size(),
           piece.size() * (lasts ? long_pieces : 1));
@@ -130,7 +130,7 @@
 
   // Kept by the play.
   bool serves = false;                        // it was ready, and was not killed since
-  int life = 0, requests_open = 0;            // of its clients
+  int incarnation = 0, requests_open = 0;     // of its clients
   steady::time_point disturbed_until{};       // it stood still, or was new
   std::map<std::string, std::uint64_t> seen;  // by route: the least version that its answers have shown
 
--- a/tests/mesh/process_test.cpp
+++ b/tests/mesh/process_test.cpp
@@ -19,14 +19,15 @@
 constexpr auto limit = 30s;       // for what has to come, on a slow machine too
 constexpr auto attempt = 1500ms;  // for what may come or not
 
-struct Item {
-  Item() = default;
-  Item(std::string l, std::uint64_t v, std::string t) : label(std::move(l)), version(v), text(std::move(t)) {}
+struct VersionedItem {
+  VersionedItem() = default;
+  VersionedItem(std::string l, std::uint64_t v, std::string t)
+      : label(std::move(l)), version(v), text(std::move(t)) {}
   std::string label;
   std::uint64_t version = 0;
   std::string text;  // a route's deadline and service, "4000>one"; empty: dropped
 };
-using Order = std::vector<Item>;
+using Order = std::vector<VersionedItem>;
 
 // gcc 12 takes no braced list in an expression that waits.
 template <typename... N>
@@ -38,13 +39,14 @@
   return {std::move(items)...};
 }
 
-Item route(const std::string& label, std::uint64_t version, int wording, const std::string& service = "one") {
+VersionedItem route(const std::string& label, std::uint64_t version, int wording,
+                    const std::string& service = "one") {
   return {label, version, fmt::format("{}>{}", 4'000 + wording, service)};
 }
 
 std::string body_of(const Order& order) {
   std::vector<std::string> set, drop;
-  for (const Item& i : order) {
+  for (const VersionedItem& i : order) {
     const auto mark = i.text.find('>');
     if (i.text.empty())
       drop.push_back(fmt::format(R"({{"label":"{}","revision":"{:08x}"}})", i.label, i.version));
@@ -68,13 +70,13 @@
       fmt::join(records, ","));
 }
 
-std::optional<std::map<std::string, Item>> routes_of(const std::string& body) {
+std::optional<std::map<std::string, VersionedItem>> routes_of(const std::string& body) {
   rapidjson::Document d;
   if (d.Parse(body.data(), body.size()).HasParseError() || !d.IsObject() || !d.HasMember("channels"))
     return std::nullopt;
   std::map<std::string, std::size_t> at;
   for (const auto& a : d["channels"]["axes"].GetArray()) at.emplace(a.GetString(), at.size());
-  std::map<std::string, Item> found;
+  std::map<std::string, VersionedItem> found;
   for (const auto& r : d["channels"]["records"].GetArray()) {
     const auto text = [&](const char* axis) {
       return std::string(r[rapidjson::SizeType(at.at(axis))].GetString());
@@ -95,14 +97,14 @@
       std::map<std::string, std::uint64_t>;  // the versions that every later read holds at the least
 
   void sent(const Order& order) {
-    for (const Item& i : order) {
+    for (const VersionedItem& i : order) {
       Name& n = names_[i.label];
       ++n.sent[{i.version, i.text}];
       n.highest = std::max(n.highest, i.version);
     }
   }
   void confirmed(const Order& order, const std::string& by) {
-    for (const Item& i : order) {
+    for (const VersionedItem& i : order) {
       Name& n = names_[i.label];
       std::uint64_t& floor = floor_[i.label];
       floor = std::max(floor, i.version);
@@ -111,7 +113,7 @@
   }
   void refused(const Order& order, int status, const std::string& by) {
     bool stands = true;
-    for (const Item& i : order) {
+    for (const VersionedItem& i : order) {
       Name& n = names_[i.label];
       ++n.refused[{i.version, i.text}];
       stands = stands && n.confirmed.contains(i.version) && n.confirmed.at(i.version) == i.text;
@@ -136,7 +138,7 @@
               fmt::format("{} of version {:x} was confirmed, and {} reads nothing", label, least, by));
         continue;
       }
-      const Item& i = it->second;
+      const VersionedItem& i = it->second;
       if (i.version < least)
         broken.push_back(
             fmt::format("{} was confirmed in version {:x}, and {} reads {}", label, least, by, told(i)));
@@ -163,10 +165,10 @@
   static bool none_in_force(const Name& n, const Wording& w) {
     return n.refused.contains(w) && n.refused.at(w) >= n.sent.at(w);
   }
-  static std::string told(const Item& i) {
+  static std::string told(const VersionedItem& i) {
     return fmt::format("{} {:x} {}", i.label, i.version, i.text.empty() ? "dropped" : i.text);
   }
-  void chosen(const Item& i, const std::string& how) {
+  void chosen(const VersionedItem& i, const std::string& how) {
     const auto [at, first] = names_[i.label].confirmed.try_emplace(i.version, i.text);
     if (!first && at->second != i.text)
       broken.push_back(fmt::format("{} is {}, and before it was {}", told(i), how,
@@ -349,7 +351,7 @@
   for (std::uint64_t v = 1; v <= 10; ++v) {
     std::vector<Order> orders;
     for (int w = 0; w < 3; ++w)
-      orders.push_back({v % 4 == 0 && w == 2 ? Item{"rx", v, ""} : route("rx", v, w)});
+      orders.push_back({v % 4 == 0 && w == 2 ? VersionedItem{"rx", v, ""} : route("rx", v, w)});
     const std::vector<int> ended = co_await p.at_once(orders, p.who);
     p.hold(
         std::count(ended.begin(), ended.end(), 200) == 1 && std::count(ended.begin(), ended.end(), 409) == 2,
@@ -386,10 +388,10 @@
   int met = 0;
   for (std::uint64_t round = 1; round <= 6; ++round) {
     const std::uint64_t v = 2 * round;
-    const std::vector<Order> orders{{route("rx", v, 0)}, {route("rx", v, 1)},
-                                    {Item{"rx", v, ""}}, {route("rx", v + 1, 0)},
-                                    {route("ry", v, 0)}, {route("ry", v, 1), route("rz", v, 1)},
-                                    {route("rz", v, 2)}, {route(fmt::format("r-{}", v), 1, 1)}};
+    const std::vector<Order> orders{{route("rx", v, 0)},          {route("rx", v, 1)},
+                                    {VersionedItem{"rx", v, ""}}, {route("rx", v + 1, 0)},
+                                    {route("ry", v, 0)},          {route("ry", v, 1), route("rz", v, 1)},
+                                    {route("rz", v, 2)},          {route(fmt::format("r-{}", v), 1, 1)}};
     const int victim = p.who[0];
     const auto moment = std::chrono::microseconds(p.drawn(2'000));
     asio::co_spawn(
@@ -557,7 +559,7 @@
   p.core.copy(older);
   p.core.start(older);
   co_await p.reads(at(older));
-  co_await p.core.stop(b);  // so that `a` is heard, and knows the life that the copy does not have
+  co_await p.core.stop(b);  // so that `a` is heard, and knows the incarnation that the copy does not have
   co_await p.reads(at(older, a));
   p.core.wake(b);
   co_await p.reads(at(b));
@@ -723,7 +725,7 @@
     if (n == calls / 2) p.core.kill(away);
     Order what = n < calls ? batch(n, false) : Order{route("last", 1, 1)};
     if (n > 0)
-      for (Item& i : batch(n - 1, true)) what.push_back(std::move(i));
+      for (VersionedItem& i : batch(n - 1, true)) what.push_back(std::move(i));
     co_await p.confirm(std::move(what), at(p.who[0], b));
   }
   co_await p.confirm(of(route("after", 1, 1)), at(p.who[0], b));
--- a/tests/mesh/processes.h
+++ b/tests/mesh/processes.h
@@ -125,7 +125,7 @@
     co_await eventually(20s, ended);
     kill(n);
   }
-  // Stands still, for certain, once this is done.
+  // CommittedPosition still, for certain, once this is done.
   awaitable<void> stop(int n) {
     daemons_.at(n)->tell(SIGSTOP);
     const std::string path = fmt::format("/proc/{}/stat", daemons_.at(n)->pid());
--- a/tests/mesh/port_test.cpp
+++ b/tests/mesh/rpc_test.cpp
@@ -10,8 +10,8 @@
 #include <filesystem>
 #include <fstream>
 
-#include "../../src/mesh/role.h"
-#include "../../src/port/calls.h"
+#include "../../src/app/mesh_process.h"
+#include "../../src/rpc/calls.h"
 #include "help.h"
 
 #include <CppUTest/TestHarness.h>
@@ -25,7 +25,7 @@
 
 struct Slow {  // answers its argument when it is let to
   static constexpr std::string_view method = "GET", path = "/slow/";
-  using Answer = port::Reply;
+  using Answer = rpc::Reply;
   std::string what;
   static std::optional<Slow> read(std::string_view argument, std::string_view) {
     return Slow{std::string(argument)};
@@ -33,9 +33,9 @@
 };
 
 struct Office {
-  explicit Office(port::Bounds bounds = {}, codec::Limits limits = {2'000, 4'000})
+  explicit Office(rpc::Bounds bounds = {}, codec::Limits limits = {2'000, 4'000})
       : sockets(100), calls(io, sockets, limits, bounds) {
-    calls.on<Slow>([this](Slow s) -> awaitable<port::Reply> {
+    calls.on<Slow>([this](Slow s) -> awaitable<rpc::Reply> {
       ++begun;
       if (s.what == "fails") throw std::runtime_error("no memory");
       while (s.what != "now" && s.what != "no" && !let.contains(s.what)) {
@@ -43,10 +43,10 @@
         asio::error_code woken;
         co_await pause.async_wait(asio::redirect_error(asio::use_awaitable, woken));
       }
-      co_return port::Reply{s.what == "no" ? 503 : 200, "<" + s.what + ">", {}};
+      co_return rpc::Reply{s.what == "no" ? 503 : 200, "<" + s.what + ">", {}};
     });
-    calls.on<port::Evacuation<true>>([](port::Evacuation<true> e) -> awaitable<port::Reply> {
-      co_return port::Reply{409, "<" + e.zone + ">", {}};
+    calls.on<rpc::Evacuation<true>>([](rpc::Evacuation<true> e) -> awaitable<rpc::Reply> {
+      co_return rpc::Reply{409, "<" + e.zone + ">", {}};
     });
     for (std::uint16_t port = 24'010; at.port() == 0 && port < 24'100; ++port) try {
         calls.listen({asio::ip::make_address("127.0.24.1"), port});
@@ -63,7 +63,7 @@
   }
   asio::io_context io;
   node::Sockets sockets;
-  port::Port calls;
+  rpc::Port calls;
   tcp::endpoint at;
   std::set<std::string> let;
   int begun = 0;
@@ -106,7 +106,7 @@
     settings("{}");
     if ((child = ::fork()) != 0) return;
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
-    ::_exit(mesh::locus({folder + "/local.json"}));
+    ::_exit(app::locus({folder + "/local.json"}));
   }
   ~Core() {
     ::kill(child, SIGKILL);
@@ -150,9 +150,9 @@
 
 }  // namespace
 
-TEST_GROUP(Port){};
+TEST_GROUP(Rpc){};
 
-TEST(Port, calls_pipelined_behind_one_that_waits_are_answered_in_their_order) {
+TEST(Rpc, calls_pipelined_behind_one_that_waits_are_answered_in_their_order) {
   for (const bool at_once : {true, false}) {
     Office o;
     Caller c(o);
@@ -178,7 +178,7 @@
   }
 }
 
-TEST(Port, a_half_closed_caller_with_calls_behind_one_that_waits_gets_all_answers) {
+TEST(Rpc, a_half_closed_caller_with_calls_behind_one_that_waits_gets_all_answers) {
   Office o;
   Caller c(o);
   c.get("a"), c.get("now");
@@ -191,7 +191,7 @@
 
 // In a core without a majority each call takes 0.85 s to be refused: the fourth of four had its answer
 // after 3.6 s.
-TEST(Port, calls_behind_one_that_nobody_can_settle_now_go_elsewhere_at_once) {
+TEST(Rpc, calls_behind_one_that_nobody_can_settle_now_go_elsewhere_at_once) {
   Office o;
   Caller c(o), d(o);
   c.get("no"), c.get("now");
@@ -206,7 +206,7 @@
 }
 
 // Who calls next has the same descriptor here: what the first waited for is not written there.
-TEST(Port, an_answer_whose_caller_has_gone_reaches_nobody) {
+TEST(Rpc, an_answer_whose_caller_has_gone_reaches_nobody) {
   Office o;
   auto gone = std::make_unique<Caller>(o);
   gone->get("a");
@@ -225,7 +225,7 @@
 
 // What lay in the sockets of a process that stood still: an evacuation so begun would come after it was taken
 // back elsewhere.
-TEST(Port, a_call_whose_caller_has_gone_elsewhere_before_it_is_read_is_not_begun) {
+TEST(Rpc, a_call_whose_caller_has_gone_elsewhere_before_it_is_read_is_not_begun) {
   Office o({.for_who_waits = true});
   {
     Caller gone(o);
@@ -237,7 +237,7 @@
   CHECK_EQUAL(1, o.begun);
 }
 
-TEST(Port, a_call_that_waits_too_long_ends_with_its_connection_and_its_answer_reaches_nobody) {
+TEST(Rpc, a_call_that_waits_too_long_ends_with_its_connection_and_its_answer_reaches_nobody) {
   Office o({.most_waiting = 128, .wait = 50ms});
   Caller c(o);
   c.get("a"), c.get("now");
@@ -251,7 +251,7 @@
   CHECK_EQUAL(0, count(next.heard, "<a>"));
 }
 
-TEST(Port, no_more_than_so_many_calls_wait_at_once) {
+TEST(Rpc, no_more_than_so_many_calls_wait_at_once) {
   Office o({.most_waiting = 2, .wait = 3s});
   Caller a(o), b(o), c(o);
   a.get("a"), b.get("b");
@@ -266,7 +266,7 @@
   CHECK(c.hears("<now>"));
 }
 
-TEST(Port, what_is_too_long_or_no_call_is_told_so_and_what_stands_behind_it_is_not_run) {
+TEST(Rpc, what_is_too_long_or_no_call_is_told_so_and_what_stands_behind_it_is_not_run) {
   const std::string none = "GET /slow/now HTTP/1.1\r\nHost: c\r\n\r\n";
   for (const auto& [text, status, ends] : std::vector<std::tuple<std::string, std::string, bool>>{
            {"POST /slow/x HTTP/1.1\r\nContent-Length: 4001\r\n\r\n" + std::string(4'001, 'x'),
@@ -288,7 +288,7 @@
   }
 }
 
-TEST(Port, an_exception_in_one_connection_ends_that_one_alone) {
+TEST(Rpc, an_exception_in_one_connection_ends_that_one_alone) {
   Office office;
   Caller waits(office), fails(office);
   waits.get("a");
@@ -302,7 +302,7 @@
   CHECK(later.hears("<now>"));
 }
 
-TEST(Port, each_status_has_its_phrase) {
+TEST(Rpc, each_status_has_its_phrase) {
   for (const auto& [status, phrase] : std::vector<std::pair<int, std::string>>{{307, "Temporary Redirect"},
                                                                                {409, "Conflict"},
                                                                                {412, "Precondition Failed"},
@@ -311,11 +311,11 @@
                                                                                {429, "Too Many Requests"},
                                                                                {500, "Internal Server Error"},
                                                                                {507, "Insufficient Storage"}})
-    CHECK(port::phrase(status) == phrase);
+    CHECK(rpc::phrase(status) == phrase);
 }
 
 TEST(
-    Port,
+    Rpc,
     an_order_for_a_zone_that_nobody_knows_is_told_so_and_what_stands_can_be_ended_whatever_the_settings_say) {
   const Core core;
   CHECK_EQUAL(200, core.says("Evacuation.Begin/anywhere"));  // without a map of zones nobody can tell
--- a/tests/mesh/shutdown_test.cpp
+++ b/tests/mesh/shutdown_test.cpp
@@ -13,12 +13,12 @@
 #include <thread>
 #include <utility>
 
-#include "../../src/mesh/role.h"
-#include "../../src/mesh/shutdown_schedule.h"
+#include "../../src/app/mesh_process.h"
+#include "../../src/app/shutdown_schedule.h"
 
 #include <CppUTest/TestHarness.h>
 
-using robinpin::mesh::ShutdownSchedule;
+using robinpin::app::ShutdownSchedule;
 using namespace robinpin;
 using namespace std::chrono_literals;
 using tcp = asio::ip::tcp;
@@ -35,8 +35,8 @@
   Machines() : acceptor_(io_) {
     char name[] = "/tmp/robinpin-shutdown-XXXXXX";
     folder_ = ::mkdtemp(name);
-    core_ = start("core", "127.0.26.1", R"("first_start":true,)", mesh::locus);
-    node_ = start("node", "127.0.26.2", node_settings, mesh::ambit);
+    core_ = start("core", "127.0.26.1", R"("first_start":true,)", app::locus);
+    node_ = start("node", "127.0.26.2", node_settings, app::ambit);
     const tcp::endpoint at(asio::ip::make_address("127.0.26.2"), 24'223);
     acceptor_.open(at.protocol());
     acceptor_.set_option(tcp::acceptor::reuse_address(true));
--- a/tests/mesh/carry_test.cpp
+++ b/tests/mesh/sidecar_test.cpp
@@ -5,10 +5,10 @@
 
 #include <thread>
 
-#include "../../src/ambit/carry.h"
+#include "../../src/sidecar/outbound_proxy.h"
 #include "../../src/net/listening.h"
-#include "../../src/port/port.h"
-#include "../../src/span/address.h"
+#include "../../src/rpc/server.h"
+#include "../../src/transport/address.h"
 #include "help.h"
 
 #include <CppUTest/TestHarness.h>
@@ -47,8 +47,8 @@
   std::string body, seal, retry_after;
 };
 
-// Stands between two who talk, at the callee's address: after so many bytes of one direction it closes both
-// sides, or says nothing more. Later connections pass whole.
+// CommittedPosition between two who talk, at the callee's address: after so many bytes of one direction it
+// closes both sides, or says nothing more. Later connections pass whole.
 struct Relay {
   enum class end { close, reset, silence };
   Relay(asio::io_context& io, tcp::acceptor& callee) : io_(io), door_(io) {
@@ -130,7 +130,7 @@
   explicit Mesh(int n, int tries = 2, std::int64_t deadline_ms = 2'000) : sockets_(1'000) {
     for (std::uint16_t port = 22'000; port < 30'000 && !open(n, port); port = std::uint16_t(port + 7))
       nodes_.clear();
-    creed::Creed& c = state;
+    configuration::ConfigurationStore& c = state;
     const auto route = [&](const char* label, const char* mode) {
       c.take(
           {std::string("c/") + label, 1, false,
@@ -142,40 +142,40 @@
     c.take({"t/one", 1, false,
             R"({"label":"one","probe":"/probe","conn_limit":100,"warmup":"3s","warmup_per_s":1})"});
     for (int i = 0; i < n; ++i) {
-      rumour::Record r;
-      r.machine = machine(i), r.life = 1, r.word = 1, r.zone = "z", r.server = fmt::format("i-{}", i),
-      r.service = "one", r.slots = 4;
+      gossip::MemberRecord r;
+      r.machine = machine(i), r.incarnation = 1, r.sequence = 1, r.zone = "z",
+      r.server = fmt::format("i-{}", i), r.service = "one", r.slots = 4;
       roll.take(r, 0);
-      gate::Server s;
+      admission::Server s;
       s.id = r.server, s.service = "one", s.slots = 4, s.sequence = 1;
-      nodes_[std::size_t(i)]->hand->door().beat(ambit::steady_now(), s, 0);
+      nodes_[std::size_t(i)]->hand->door().beat(sidecar::steady_now(), s, 0);
     }
-    plan = creed::Planner().plan_of(c);
+    plan = configuration::RouteTableBuilder().build(c);
     for (auto& node : nodes_) {
       node->carry->plan(plan);
-      node->carry->servers(roll, ambit::steady_now());
+      node->carry->servers(roll, sidecar::steady_now());
       node->carry->ready(true);
     }
   }
 
   // As a node does with what it has learnt.
   void apply_state() {
-    plan = creed::Planner().plan_of(state);
-    for (auto& node : nodes_) node->carry->plan(plan), node->carry->servers(roll, ambit::steady_now());
+    plan = configuration::RouteTableBuilder().build(state);
+    for (auto& node : nodes_) node->carry->plan(plan), node->carry->servers(roll, sidecar::steady_now());
   }
   // Another server takes the place of the one beside a node, of a service that may be unknown so far.
   void serve_as(int i, const std::string& service) {
-    rumour::Record r = *roll.find(machine(i));
-    gate::Server s = nodes_[std::size_t(i)]->hand->door().server();
-    s.id = r.server = fmt::format("i-{}-{}", service, ++r.word), s.service = r.service = service,
+    gossip::MemberRecord r = *roll.find(machine(i));
+    admission::Server s = nodes_[std::size_t(i)]->hand->door().server();
+    s.id = r.server = fmt::format("i-{}-{}", service, ++r.sequence), s.service = r.service = service,
     s.sequence = 1;
     roll.take(r, 0);
-    nodes_[std::size_t(i)]->hand->door().beat(ambit::steady_now(), s, 0);
-    for (auto& node : nodes_) node->carry->servers(roll, ambit::steady_now());
+    nodes_[std::size_t(i)]->hand->door().beat(sidecar::steady_now(), s, 0);
+    for (auto& node : nodes_) node->carry->servers(roll, sidecar::steady_now());
   }
   Box& box(int i) { return nodes_[std::size_t(i)]->box; }
-  ambit::Carry& carry(int i) { return *nodes_[std::size_t(i)]->carry; }
-  ambit::Hand& hand(int i) { return *nodes_[std::size_t(i)]->hand; }
+  sidecar::OutboundProxy& carry(int i) { return *nodes_[std::size_t(i)]->carry; }
+  sidecar::InboundProxy& hand(int i) { return *nodes_[std::size_t(i)]->hand; }
   // The node takes no connection any more, nor goes on with those it has.
   void break_node(int i) { nodes_[std::size_t(i)]->inbound.close(); }
   enum class place { client, nodes, server };
@@ -189,21 +189,21 @@
     serve_at(n, a);
     return r;
   }
-  // Another life of the server beside it, at its address: connections end, its id is new (or, against the
-  // pages, the same).
+  // Another incarnation of the server beside it, at its address: connections end, its id is new (or, against
+  // the pages, the same).
   void relive(int i, bool renamed) {
     Node& n = *nodes_[std::size_t(i)];
     for (const auto& weak : std::exchange(n.box.connections, {}))
       if (const auto c = weak.lock()) c->abort();
     if (!renamed) return;
-    rumour::Record r = *roll.find(machine(i));
-    gate::Server s = n.hand->door().server();
-    s.id = r.server = fmt::format("i-{}-{}", i, ++r.word), s.sequence = 1;
+    gossip::MemberRecord r = *roll.find(machine(i));
+    admission::Server s = n.hand->door().server();
+    s.id = r.server = fmt::format("i-{}-{}", i, ++r.sequence), s.sequence = 1;
     roll.take(r, 0);
-    n.hand->door().beat(ambit::steady_now(), s, 0);
-    for (auto& node : nodes_) node->carry->servers(roll, ambit::steady_now());
+    n.hand->door().beat(sidecar::steady_now(), s, 0);
+    for (auto& node : nodes_) node->carry->servers(roll, sidecar::steady_now());
   }
-  // Another life of the node: the connections of other nodes end.
+  // Another incarnation of the node: the connections of other nodes end.
   void reset_node(int i) {
     for (const auto& weak : std::exchange(nodes_[std::size_t(i)]->inner, {}))
       if (const auto c = weak.lock()) c->abort();
@@ -216,9 +216,9 @@
   }
   // Only these servers are known to the callers.
   void only(std::initializer_list<int> known) {
-    rumour::Roll some;
+    gossip::MembershipTable some;
     for (const int i : known) some.take(*roll.find(machine(i)), 0);
-    for (auto& node : nodes_) node->carry->servers(some, ambit::steady_now());
+    for (auto& node : nodes_) node->carry->servers(some, sidecar::steady_now());
   }
   int runs() {
     int all = 0;
@@ -284,29 +284,31 @@
                             path, ++number_, body.size()),
                 body);
   }
-  static rumour::Machine machine(int i) { return span::parse_address(fmt::format("127.0.22.{}", i + 1)); }
+  static gossip::Machine machine(int i) {
+    return transport::parse_address(fmt::format("127.0.22.{}", i + 1));
+  }
   std::function<void()> meanwhile;  // after each turn of a call
 
   asio::io_context io;
-  rumour::Roll roll;
-  creed::Creed state;
-  std::shared_ptr<const creed::Plan> plan;
+  gossip::MembershipTable roll;
+  configuration::ConfigurationStore state;
+  std::shared_ptr<const configuration::RouteTable> plan;
 
  private:
   struct Node {
     explicit Node(asio::io_context& io) : outbound(io), inbound(io), application(io) {}
-    ground::Settings settings;
+    bootstrap::Settings settings;
     tcp::acceptor outbound, inbound, application;
     Box box;
     std::vector<std::weak_ptr<node::Connection>> inner;  // of other nodes
-    std::unique_ptr<ambit::Hand> hand;
-    std::unique_ptr<ambit::Carry> carry;
+    std::unique_ptr<sidecar::InboundProxy> hand;
+    std::unique_ptr<sidecar::OutboundProxy> carry;
   };
   bool open(int n, std::uint16_t port) {
     for (int i = 0; i < n; ++i) {
       nodes_.push_back(std::make_unique<Node>(io));
       Node& node = *nodes_.back();
-      node.settings.ip = span::format_address(machine(i));
+      node.settings.ip = transport::format_address(machine(i));
       node.settings.zone = "z";
       node.settings.target = "caller";
       node.settings.retry_ratio = 0.2, node.settings.retry_slack = 60;
@@ -321,9 +323,10 @@
       } catch (const std::exception&) {
         return false;
       }
-      node.hand =
-          std::make_unique<ambit::Hand>(io, sockets_, node.settings, node.application.local_endpoint());
-      node.carry = std::make_unique<ambit::Carry>(io, clock_, sockets_, node.settings, *node.hand, 7);
+      node.hand = std::make_unique<sidecar::InboundProxy>(io, sockets_, node.settings,
+                                                          node.application.local_endpoint());
+      node.carry =
+          std::make_unique<sidecar::OutboundProxy>(io, clock_, sockets_, node.settings, *node.hand, 7);
       for (tcp::acceptor* a : {&node.outbound, &node.inbound, &node.application}) serve_at(node, *a);
     }
     return true;
@@ -335,7 +338,7 @@
     if (&a == &node.outbound) f = [&node](auto c) { return node.carry->serve(std::move(c)); };
     if (&a == &node.inbound)
       f = [&node](auto c) { return node.inner.push_back(c), node.carry->serve_inner(std::move(c)); };
-    asio::co_spawn(io, port::accept(a, sockets_, {16 * 1024, 1024 * 1024}, std::move(f)), asio::detached);
+    asio::co_spawn(io, rpc::accept(a, sockets_, {16 * 1024, 1024 * 1024}, std::move(f)), asio::detached);
   }
   static void listen(tcp::acceptor& a, const std::string& at) {
     const auto endpoint = node::endpoint_of(at);
@@ -393,9 +396,9 @@
 
 }  // namespace
 
-TEST_GROUP(Carry){};
+TEST_GROUP(Sidecar){};
 
-TEST(Carry, a_request_reaches_a_server_as_it_was_sent_and_who_calls_is_not_what_it_says) {
+TEST(Sidecar, a_request_reaches_a_server_as_it_was_sent_and_who_calls_is_not_what_it_says) {
   Mesh m(2);
   m.only({1});
   const Answered a = m.get("/safe/x?y=1",
@@ -411,7 +414,7 @@
   CHECK(m.box(1).last_head.find("X-Kept: 2") != std::string::npos);
 }
 
-TEST(Carry, routes_added_later_by_the_hundred_to_a_service_known_before_them_are_served_like_the_first) {
+TEST(Sidecar, routes_added_later_by_the_hundred_to_a_service_known_before_them_are_served_like_the_first) {
   Mesh m(3);
   m.serve_as(1, "two");
   CHECK_EQUAL(200, m.get().status);
@@ -446,7 +449,7 @@
   CHECK_EQUAL(before + 20, m.box(1).runs);
 }
 
-TEST(Carry, what_a_server_turned_away_runs_at_another_in_every_mode) {
+TEST(Sidecar, what_a_server_turned_away_runs_at_another_in_every_mode) {
   for (const char* path : {"/once/x", "/big/x", "/safe/x"}) {
     Mesh m(2);
     m.box(0).answer = m.box(1).answer = [&m](const codec::Message& in) {
@@ -458,7 +461,7 @@
   }
 }
 
-TEST(Carry, a_server_that_breaks_off_after_it_has_the_request_is_no_promise_and_no_second_run) {
+TEST(Sidecar, a_server_that_breaks_off_after_it_has_the_request_is_no_promise_and_no_second_run) {
   for (const char* path : {"/once/x", "/big/x"})
     for (int remote = 0; remote < 2; ++remote) {
       Mesh m(2);
@@ -469,14 +472,14 @@
     }
 }
 
-TEST(Carry, what_may_run_again_does_and_within_its_tries) {
+TEST(Sidecar, what_may_run_again_does_and_within_its_tries) {
   Mesh m(2);
   m.box(0).answer = m.box(1).answer = [&](const codec::Message&) { return ++m.box(0).runs, std::string(); };
   CHECK_EQUAL(502, m.get().status);
   CHECK_EQUAL(2, m.runs());
 }
 
-TEST(Carry, an_answer_that_is_none_never_reaches_a_client_as_one) {
+TEST(Sidecar, an_answer_that_is_none_never_reaches_a_client_as_one) {
   const auto id = [](const codec::Message& in) { return std::string(in.header("X-Attempt-Id")); };
   const std::vector<std::function<std::string(const codec::Message&)>> spoilt = {
       [&](const auto& in) {
@@ -515,7 +518,7 @@
   }
 }
 
-TEST(Carry, a_surplus_answer_belongs_to_no_request) {
+TEST(Sidecar, a_surplus_answer_belongs_to_no_request) {
   Mesh m(1);
   int n = 0;
   m.box(0).answer = [&](const codec::Message& in) {
@@ -526,7 +529,7 @@
   STRCMP_EQUAL("b2", m.get().body.c_str());
 }
 
-TEST(Carry, requests_that_a_client_pipelines_are_answered_each_and_in_their_order) {
+TEST(Sidecar, requests_that_a_client_pipelines_are_answered_each_and_in_their_order) {
   for (const int remote : {0, 1}) {
     Mesh m(2);
     m.only({remote});
@@ -566,7 +569,7 @@
 
 // Right behind an answer, or later: the connection rests, and is looked at before it is used again. No call
 // is lost to it.
-TEST(Carry, what_comes_behind_an_answer_ends_its_connection_and_costs_no_call) {
+TEST(Sidecar, what_comes_behind_an_answer_ends_its_connection_and_costs_no_call) {
   enum class then { behind, later, closed };
   for (const then when : {then::behind, then::later, then::closed})
     for (const int remote : {0, 1}) {
@@ -587,7 +590,7 @@
     }
 }
 
-TEST(Carry, a_late_answer_of_an_earlier_request_is_read_past) {
+TEST(Sidecar, a_late_answer_of_an_earlier_request_is_read_past) {
   Mesh m(1);
   std::string before;
   int n = 0;
@@ -602,7 +605,7 @@
   CHECK_EQUAL(2, m.runs());
 }
 
-TEST(Carry, a_node_that_takes_no_connection_costs_a_once_only_request_nothing) {
+TEST(Sidecar, a_node_that_takes_no_connection_costs_a_once_only_request_nothing) {
   Mesh m(3);
   m.only({1, 2});
   m.break_node(1);
@@ -610,19 +613,19 @@
   CHECK_EQUAL(6, m.box(2).runs);
 }
 
-TEST(Carry, what_a_gate_holds_back_has_not_arrived_and_goes_to_another) {
+TEST(Sidecar, what_a_gate_holds_back_has_not_arrived_and_goes_to_another) {
   Mesh m(3);
   m.only({1, 2});
-  gate::Server s = m.hand(1).door().server();
+  admission::Server s = m.hand(1).door().server();
   s.draining = true, s.sequence = 9;
-  m.hand(1).door().beat(ambit::steady_now(), s, 0);  // callers have not heard of it
+  m.hand(1).door().beat(sidecar::steady_now(), s, 0);  // callers have not heard of it
   for (int i = 0; i < 6; ++i) CHECK_EQUAL(200, m.post().status);
   CHECK_EQUAL(0, m.box(1).arrivals);
   CHECK_EQUAL(6, m.box(2).runs);
   CHECK_EQUAL(0, m.carry(0).counts().further);  // of the shared limit nothing is spent
 }
 
-TEST(Carry, where_all_hold_it_back_the_answer_is_a_promise_with_a_time_at_once) {
+TEST(Sidecar, where_all_hold_it_back_the_answer_is_a_promise_with_a_time_at_once) {
   Mesh m(2);
   for (int i = 0; i < 2; ++i) m.hand(i).door().departed(fmt::format("i-{}", i));
   const Answered a = m.post();
@@ -631,7 +634,7 @@
   CHECK_EQUAL(0, m.runs());
 }
 
-TEST(Carry, a_long_body_is_not_sent_to_a_node_that_holds_it_back) {
+TEST(Sidecar, a_long_body_is_not_sent_to_a_node_that_holds_it_back) {
   Mesh m(3);
   m.only({1, 2});
   m.hand(1).door().departed("i-1");
@@ -642,17 +645,17 @@
   CHECK(m.carry(2).inner_bytes() == 4 * body.size());
 }
 
-TEST(Carry, an_address_that_another_service_has_now_runs_nothing) {
+TEST(Sidecar, an_address_that_another_service_has_now_runs_nothing) {
   Mesh m(2);
   m.only({1});
-  gate::Server s;
+  admission::Server s;
   s.id = "i-other", s.service = "other", s.sequence = 1;
-  m.hand(1).door().beat(ambit::steady_now(), s, 0);
+  m.hand(1).door().beat(sidecar::steady_now(), s, 0);
   CHECK_EQUAL(503, m.get().status);
   CHECK_EQUAL(0, m.box(1).arrivals);
 }
 
-TEST(Carry, a_silent_server_ends_with_the_deadline_and_no_promise) {
+TEST(Sidecar, a_silent_server_ends_with_the_deadline_and_no_promise) {
   Mesh m(2, 2, 300);
   m.only({1});
   std::vector<std::shared_ptr<int>> held;
@@ -666,7 +669,7 @@
   CHECK_EQUAL(1, m.runs());
 }
 
-TEST(Carry, a_callers_final_answer_leaves_before_its_time_is_over) {
+TEST(Sidecar, a_callers_final_answer_leaves_before_its_time_is_over) {
   Mesh m(1);
   m.box(0).answer = [](const codec::Message&) {
     return std::string("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n");
@@ -675,7 +678,7 @@
   CHECK_EQUAL(504, m.post().status);
 }
 
-TEST(Carry, the_time_of_a_request_runs_from_its_first_byte_also_while_its_body_comes) {
+TEST(Sidecar, the_time_of_a_request_runs_from_its_first_byte_also_while_its_body_comes) {
   Mesh m(1, 2, 600);
   m.box(0).answer = [](const codec::Message&) {
     return std::string("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n");
@@ -686,7 +689,7 @@
   CHECK(std::chrono::steady_clock::now() - begun < 900ms);
 }
 
-TEST(Carry, the_time_of_a_request_on_a_kept_connection_does_not_run_from_an_earlier_one) {
+TEST(Sidecar, the_time_of_a_request_on_a_kept_connection_does_not_run_from_an_earlier_one) {
   Mesh m(1, 2, 600);
   m.box(0).late = [] { return 300ms; };
   std::vector<int> statuses;
@@ -714,7 +717,7 @@
   CHECK(statuses == std::vector<int>({200, 200}));
 }
 
-TEST(Carry, proper_4xx_of_our_own_and_none_else) {
+TEST(Sidecar, proper_4xx_of_our_own_and_none_else) {
   Mesh m(1);
   CHECK_EQUAL(404, m.get("/none/x").status);
   CHECK_EQUAL(400, m.call("GET /safe/x HTTP/1.1\r\nHost: a.example\r\n\r\n").status);
@@ -729,7 +732,7 @@
   CHECK_EQUAL(0, m.box(0).arrivals);
 }
 
-TEST(Carry, a_node_that_ends_answers_the_last_request_and_closes_behind_it) {
+TEST(Sidecar, a_node_that_ends_answers_the_last_request_and_closes_behind_it) {
   Mesh m(1);
   m.carry(0).ends(std::numeric_limits<micros>::max());
   const Answered a = m.get();
@@ -737,7 +740,7 @@
 }
 
 // The process ends once nothing is pending: an answer of which a part waits for its reader is.
-TEST(Carry, an_answer_that_its_client_reads_slowly_is_pending_until_it_is_written) {
+TEST(Sidecar, an_answer_that_its_client_reads_slowly_is_pending_until_it_is_written) {
   for (const int remote : {0, 1}) {
     Mesh m(2);
     m.only({remote});
@@ -775,7 +778,7 @@
   }
 }
 
-TEST(Carry, requests_that_were_pipelined_before_a_node_ends_are_all_answered) {
+TEST(Sidecar, requests_that_were_pipelined_before_a_node_ends_are_all_answered) {
   Mesh m(1);
   m.box(0).late = [] { return 20ms; };
   int answers = 0;
@@ -808,7 +811,7 @@
 }
 
 // A connection closed over unread bytes is reset, and what of its last answer has not been sent goes with it.
-TEST(Carry, bytes_behind_the_last_request_of_a_connection_do_not_cost_its_answer) {
+TEST(Sidecar, bytes_behind_the_last_request_of_a_connection_do_not_cost_its_answer) {
   Mesh m(1);
   const std::string large(2 * 1024 * 1024, 'x');
   m.box(0).answer = [&](const codec::Message& in) { return ++m.box(0).runs, seal_of(in, large); };
@@ -875,14 +878,14 @@
 };
 
 void set_idle(Mesh& m, std::chrono::microseconds idle) {
-  auto plan = std::make_shared<creed::Plan>(*m.plan);
+  auto plan = std::make_shared<configuration::RouteTable>(*m.plan);
   plan->bounds.idle = idle.count();
   m.carry(0).plan(plan);
 }
 
 }  // namespace
 
-TEST(Carry, a_connection_that_rests_goes_by_a_longer_idle_limit_as_soon_as_it_is_in_force) {
+TEST(Sidecar, a_connection_that_rests_goes_by_a_longer_idle_limit_as_soon_as_it_is_in_force) {
   Mesh m(1);
   set_idle(m, 100ms);
   KeptConnection client(m);
@@ -895,7 +898,7 @@
   CHECK_EQUAL(200, client.status());
 }
 
-TEST(Carry, a_request_that_arrives_as_the_idle_limit_ends_while_the_process_is_busy_is_answered) {
+TEST(Sidecar, a_request_that_arrives_as_the_idle_limit_ends_while_the_process_is_busy_is_answered) {
   Mesh m(1);
   set_idle(m, 50ms);
   KeptConnection client(m);
@@ -908,15 +911,15 @@
 }
 
 // Of a route that changes all the time each deadline it ever had stays known; in between requests go on.
-TEST(Carry, requests_go_on_while_a_route_changes_its_deadline_and_its_service_hundreds_of_times) {
+TEST(Sidecar, requests_go_on_while_a_route_changes_its_deadline_and_its_service_hundreds_of_times) {
   Mesh m(1);
   m.box(0).late = [] { return 2ms; };
   KeptConnection client(m);
   std::chrono::microseconds first{}, last{};
   constexpr int changes = 300;
   for (int n = 1; n <= changes; ++n) {
-    auto plan = std::make_shared<creed::Plan>(*m.plan);
-    auto channel = std::make_shared<creed::Channel>(*m.plan->find("a.example", "/safe/x"));
+    auto plan = std::make_shared<configuration::RouteTable>(*m.plan);
+    auto channel = std::make_shared<configuration::Route>(*m.plan->find("a.example", "/safe/x"));
     channel->deadline += 1'000 * n, channel->aim = channel->deadline;
     plan->hosts["a.example"]["/safe/"] = channel;
     if (n % 2 == 0) plan->hosts["a.example"].erase("/safe/");  // dropped as the request is at work
@@ -924,7 +927,7 @@
     CHECK(m.until([&] { return m.box(0).arrivals == n; }));
     const auto begun = node::steady::now();
     m.carry(0).plan(plan);
-    m.carry(0).servers(m.roll, ambit::steady_now());
+    m.carry(0).servers(m.roll, sidecar::steady_now());
     const auto took = std::chrono::duration_cast<std::chrono::microseconds>(node::steady::now() - begun);
     (n <= 20 ? first : last) += n <= 20 || n > changes - 20 ? took : 0us;
     CHECK_EQUAL(200, client.status());
@@ -936,7 +939,7 @@
 
 // Nothing tells a client that only ends its sending from one that has closed, and for that one no server may
 // go on working.
-TEST(Carry, a_client_that_ends_its_sending_counts_as_gone) {
+TEST(Sidecar, a_client_that_ends_its_sending_counts_as_gone) {
   Mesh m(1);
   m.box(0).late = [] { return 100ms; };
   KeptConnection client(m);
@@ -947,7 +950,7 @@
 }
 
 // Else it is given up when the node's time is over, though its server is at work on it.
-TEST(Carry, a_node_that_is_about_to_end_takes_no_request_that_it_would_give_up) {
+TEST(Sidecar, a_node_that_is_about_to_end_takes_no_request_that_it_would_give_up) {
   Mesh m(1);
   m.carry(0).ends(0);
   const Answered a = m.get();
@@ -956,7 +959,7 @@
   CHECK_EQUAL(0, m.box(0).arrivals);
 }
 
-TEST(Carry, a_chunked_upload_arrives_whole_and_runs_once) {
+TEST(Sidecar, a_chunked_upload_arrives_whole_and_runs_once) {
   Mesh m(2);
   m.only({1});
   std::string got;
@@ -973,7 +976,7 @@
   CHECK_EQUAL(1, m.runs());
 }
 
-TEST(Carry, an_upload_goes_on_as_it_comes_and_takes_no_more_of_a_node_than_its_buffer) {
+TEST(Sidecar, an_upload_goes_on_as_it_comes_and_takes_no_more_of_a_node_than_its_buffer) {
   for (const int remote : {0, 1}) {
     Mesh m(2);
     m.only({remote});
@@ -998,7 +1001,7 @@
   }
 }
 
-TEST(Carry, an_upload_that_its_sender_breaks_off_runs_nowhere_and_leaves_nothing_at_the_gate) {
+TEST(Sidecar, an_upload_that_its_sender_breaks_off_runs_nowhere_and_leaves_nothing_at_the_gate) {
   for (const int remote : {0, 1}) {
     Mesh m(2);
     m.only({remote});
@@ -1014,7 +1017,7 @@
   }
 }
 
-TEST(Carry, an_upload_cut_off_on_its_way_has_not_run_and_is_told_so_at_once_and_never_sent_again) {
+TEST(Sidecar, an_upload_cut_off_on_its_way_has_not_run_and_is_told_so_at_once_and_never_sent_again) {
   const std::string not_executed = "HTTP/1.1 503 Busy\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
   for (const std::string& said : {std::string(), not_executed})
     for (const int remote : {0, 1}) {
@@ -1038,7 +1041,7 @@
 
 // A quarter of the aim ends as a server turns up, in one turn of the loop: the order to send is met by a call
 // that is over.
-TEST(Carry, what_is_ordered_as_its_caller_is_held_out_is_not_sent) {
+TEST(Sidecar, what_is_ordered_as_its_caller_is_held_out_is_not_sent) {
   Mesh m(1, 2, 200);
   CHECK_EQUAL(200, m.get().status);  // a connection to the server is kept: a byte that is written arrives
   m.only({});
@@ -1063,7 +1066,7 @@
 
 // Each way of a request, broken after so many bytes of either direction, closed, reset or silent, in each
 // mode. The servers' own count of runs is the judge.
-TEST(Carry, wherever_a_way_breaks_nothing_runs_twice_and_no_promise_is_made_for_what_ran) {
+TEST(Sidecar, wherever_a_way_breaks_nothing_runs_twice_and_no_promise_is_made_for_what_ran) {
   using place = Mesh::place;
   constexpr std::size_t all = ~std::size_t(0);
   struct Break {
@@ -1111,7 +1114,7 @@
 }
 
 // A turned-away request that names none: a copy of it, late on a kept connection, is not the next one's.
-TEST(Carry, a_refusal_that_names_no_request_is_taken_once) {
+TEST(Sidecar, a_refusal_that_names_no_request_is_taken_once) {
   Mesh m(1);
   int n = 0;
   std::map<int, std::string> owed;
@@ -1125,7 +1128,7 @@
 }
 
 // The same server again, and what it said first comes a second time as it is at work on what was sent again.
-TEST(Carry, an_answer_to_a_request_under_the_same_id_that_comes_doubled_and_late_counts_once) {
+TEST(Sidecar, an_answer_to_a_request_under_the_same_id_that_comes_doubled_and_late_counts_once) {
   for (const int remote : {0, 1})
     for (const bool between : {false, true}) {
       if (between && !remote) continue;
@@ -1157,7 +1160,7 @@
     }
 }
 
-TEST(Carry, an_answer_after_its_time_reaches_nobody_and_its_connection_is_not_used_again) {
+TEST(Sidecar, an_answer_after_its_time_reaches_nobody_and_its_connection_is_not_used_again) {
   for (const int remote : {0, 1}) {
     Mesh m(2, 1, 60);
     m.only({remote});
@@ -1174,7 +1177,7 @@
   }
 }
 
-TEST(Carry, a_surplus_that_was_cut_off_does_not_lend_its_head_to_the_answer_behind_it) {
+TEST(Sidecar, a_surplus_that_was_cut_off_does_not_lend_its_head_to_the_answer_behind_it) {
   const std::string head =
       "HTTP/1.1 503 Busy\r\nX-Not-Executed: 1\r\nX-Sent: 7\r\nX-Attempt-Id: before\r\nContent-Length: "
       "0\r\n\r\n";
@@ -1193,7 +1196,7 @@
   }
 }
 
-TEST(Carry, a_servers_own_status_makes_no_promise_for_what_may_run_once) {
+TEST(Sidecar, a_servers_own_status_makes_no_promise_for_what_may_run_once) {
   for (const int status : {503, 429, 408})
     for (const char* path : {"/once/x", "/big/x"})
       for (const int remote : {0, 1}) {
@@ -1209,7 +1212,7 @@
       }
 }
 
-TEST(Carry, a_probe_takes_no_requests_answer_for_its_own_nor_a_request_a_probes) {
+TEST(Sidecar, a_probe_takes_no_requests_answer_for_its_own_nor_a_request_a_probes) {
   Mesh m(1);
   std::string owed;
   m.box(0).answer = [&](const codec::Message& in) {
@@ -1235,7 +1238,7 @@
 
 // A stray answer in the midst of an upload: it is no answer to what no server has whole, and nothing is
 // waited for.
-TEST(Carry, a_stray_answer_ends_an_upload_at_once_and_is_not_its_answer) {
+TEST(Sidecar, a_stray_answer_ends_an_upload_at_once_and_is_not_its_answer) {
   Mesh m(1);
   m.box(0).early = [&](const codec::Message&) {
     return std::string(
@@ -1415,7 +1418,7 @@
 
 }  // namespace
 
-TEST(Carry, drawn_plays_of_late_doubled_cut_and_nameless_answers_over_both_hops_bring_each_its_own) {
+TEST(Sidecar, drawn_plays_of_late_doubled_cut_and_nameless_answers_over_both_hops_bring_each_its_own) {
   int good = 0, promises = 0, unknown = 0, surpluses = 0;
   const char* told = std::getenv("ROBINPIN_PLAYS");  // for a long run
   const unsigned plays = told ? unsigned(std::atoi(told)) : 60;
--- a/tests/mesh/simulated_disk.h
+++ b/tests/mesh/simulated_disk.h
@@ -15,7 +15,7 @@
 #include <utility>
 #include <vector>
 
-#include "../../src/trove/file_system.h"
+#include "../../src/storage/file_system.h"
 
 namespace robinpin::mesh_test::disk {
 
@@ -211,7 +211,7 @@
 
 // Records what is asked of it and does it, but syncs nothing. LevelDB's background work waits until the test
 // runs it, so that a seed is a history.
-class RecordingFileSystem : public trove::FileSystem {
+class RecordingFileSystem : public storage::FileSystem {
  public:
   using Kind = DiskOperation::Kind;
 
--- a/tests/mesh/world.h
+++ b/tests/mesh/simulated_world.h
@@ -1,7 +1,7 @@
-// A world of core machines for the explorer: locus::Keep, rumour::Rumour and creed::Creed as they are, over a
-// network that is a bag of letters, disks as LevelDB has them, and a clock for each machine. Beside them
-// stands what was settled and what operators were told, kept in words of its own and held against all that
-// any core holds, says or answers.
+// A world of core machines for the explorer: control_plane::ReplicatedState, gossip::Gossip and
+// configuration::ConfigurationStore as they are, over a network that is a bag of letters, disks as LevelDB
+// has them, and a clock for each machine. Beside them stands what was settled and what operators were told,
+// kept in words of its own and held against all that any core holds, says or answers.
 #pragma once
 
 #include <algorithm>
@@ -16,56 +16,57 @@
 #include <tuple>
 #include <vector>
 
-#include "../../src/locus/disk.h"
-#include "../../src/locus/keep.h"
+#include "../../src/control_plane/persistence.h"
+#include "../../src/control_plane/replicated_state.h"
 #include "help.h"
 
 namespace robinpin::mesh_test::explored {
 
-using creed::Item;
-using rumour::Machine;
-using What = locus::Order::what;
-using Items = creed::Creed::Items;
+using configuration::VersionedItem;
+using gossip::Machine;
+using What = control_plane::OperatorRequest::what;
+using Items = configuration::ConfigurationStore::Items;
 
 inline std::uint64_t mixed(std::uint64_t h, std::uint64_t x) {
-  return creed::hashed({reinterpret_cast<const char*>(&x), sizeof x}, h);
+  return configuration::hashed({reinterpret_cast<const char*>(&x), sizeof x}, h);
 }
-inline std::uint64_t mixed(std::uint64_t h, std::string_view x) { return creed::hashed(x, h); }
+inline std::uint64_t mixed(std::uint64_t h, std::string_view x) { return configuration::hashed(x, h); }
 
 // An operator's call, and what it asks for in words of the explorer's own.
 struct Call {
-  locus::Order order;
-  std::vector<Item> items;
+  control_plane::OperatorRequest order;
+  std::vector<VersionedItem> items;
   std::vector<std::pair<std::size_t, std::string>> needs;  // of which item, which service
   bool invalid = false;                                    // whatever stands
 
-  bool brings(const Item& i) const {
+  bool brings(const VersionedItem& i) const {
     if (order.is == What::begin || order.is == What::finish)
-      return i.name == std::string(creed::evacuation_mark) + order.text;
-    return std::any_of(items.begin(), items.end(), [&](const Item& x) { return creed::same_wording(x, i); });
+      return i.name == std::string(configuration::evacuation_mark) + order.text;
+    return std::any_of(items.begin(), items.end(),
+                       [&](const VersionedItem& x) { return configuration::same_wording(x, i); });
   }
   // Two that can't both be taken, whichever comes first.
   bool clashes(const Call& o) const {
-    for (const Item& a : items)
-      for (const Item& b : o.items)
-        if (a.name == b.name && a.version == b.version && !creed::same_wording(a, b)) return true;
+    for (const VersionedItem& a : items)
+      for (const VersionedItem& b : o.items)
+        if (a.name == b.name && a.version == b.version && !configuration::same_wording(a, b)) return true;
     return false;
   }
 };
 
 inline Call change(const std::string& text) {
   Call c{{What::adjust, text}, {}, {}, false};
-  auto read = creed::read_call(text);
+  auto read = configuration::read_call(text);
   c.items = std::move(read.items), c.invalid = !read.faults.empty();
   for (const auto& n : read.needs) c.needs.emplace_back(n.item, n.service);
   return c;
 }
 inline std::string drop_text(const std::string& label, int version) {
-  return R"({"label":")" + label + R"(","revision":")" + creed::version_text(std::uint64_t(version)) +
+  return R"({"label":")" + label + R"(","revision":")" + configuration::version_text(std::uint64_t(version)) +
          R"("})";
 }
 inline Call route(int version, const std::string& target, const std::string& label = "r0") {
-  return change(one_route(creed::version_text(std::uint64_t(version)), target, label));
+  return change(one_route(configuration::version_text(std::uint64_t(version)), target, label));
 }
 inline Call drop(const std::string& list, const std::string& label, int version) {
   return change(R"({"remove":{")" + list + R"(":[)" + drop_text(label, version) + "]}}");
@@ -73,7 +74,7 @@
 // A route set and another dropped, in one call.
 inline Call both(int version, const std::string& target, const std::string& label,
                  const std::string& dropped) {
-  std::string text = one_route(creed::version_text(std::uint64_t(version)), target, label);
+  std::string text = one_route(configuration::version_text(std::uint64_t(version)), target, label);
   text.pop_back();
   return change(text + R"(,"remove":{"channels":[)" + drop_text(dropped, version) + "]}}");
 }
@@ -85,7 +86,7 @@
 // explorer was too hard on it); a loss of power takes those that were put in time from the end on, as far as
 // it likes.
 struct Disk {
-  using Batch = trove::KeyValueStore::WriteBatch;
+  using Batch = storage::KeyValueStore::WriteBatch;
   std::map<std::string, std::string> lasts;
   std::vector<Batch> since;
   static void apply(std::map<std::string, std::string>& to, const Batch& b) {
@@ -116,26 +117,27 @@
   }
 };
 
-class Store : public trove::KeyValueStore {
+class Store : public storage::KeyValueStore {
  public:
   explicit Store(std::shared_ptr<Disk> disk) : disk_(std::move(disk)) {
     disk_->settle();
   }                 // opened: what was found is synced
   int spared = -1;  // the process dies once so many more puts are there; below 0: it does not
   bool died = false;
-  trove::result<void> write(const WriteBatch& batch, Durability durability = Durability::synced) override {
+  storage::result<void> write(const WriteBatch& batch, Durability durability = Durability::synced) override {
     if (died || spared == 0)
-      return died = true, boost::leaf::new_error(trove::Error{trove::Error::Step::sync, "memory", "died"});
+      return died = true,
+             boost::leaf::new_error(storage::Error{storage::Error::Step::sync, "memory", "died"});
     if (spared > 0) --spared;
     disk_->since.push_back(batch);
     if (durability == Durability::synced) disk_->settle();
     return {};
   }
-  trove::result<std::vector<Entry>> read_all() override {
+  storage::result<std::vector<Entry>> read_all() override {
     const auto held = disk_->written();
     return std::vector<Entry>(held.begin(), held.end());
   }
-  trove::result<std::uint64_t> size_on_disk() override { return 0; }
+  storage::result<std::uint64_t> size_on_disk() override { return 0; }
 
  private:
   std::shared_ptr<Disk> disk_;
@@ -167,10 +169,10 @@
     return it != s.items.end() && !it->second.dropped;
   };
   if (c.order.is == What::begin || c.order.is == What::finish)
-    return stands(std::string(creed::evacuation_mark) + c.order.text) == (c.order.is == What::begin);
-  return std::all_of(c.items.begin(), c.items.end(), [&](const Item& i) {
+    return stands(std::string(configuration::evacuation_mark) + c.order.text) == (c.order.is == What::begin);
+  return std::all_of(c.items.begin(), c.items.end(), [&](const VersionedItem& i) {
     if (const auto it = s.items.find(i.name); it != s.items.end())
-      return it->second.version > i.version || creed::same_wording(it->second, i);
+      return it->second.version > i.version || configuration::same_wording(it->second, i);
     const auto gone = let_go.find(i.name);
     return gone != let_go.end() && gone->second >= i.version;
   });
@@ -183,16 +185,18 @@
     return it == s.items.end() ? nullptr : &it->second;
   };
   for (const auto& [item, service] : c.needs) {
-    const Item& i = c.items[item];
-    if (const Item* h = held(i.name); h && h->version >= i.version) continue;  // changes nothing
-    const Item* before = held(service);
-    const Item* brought = nullptr;
-    for (const Item& x : c.items)
+    const VersionedItem& i = c.items[item];
+    if (const VersionedItem* h = held(i.name); h && h->version >= i.version) continue;  // changes nothing
+    const VersionedItem* before = held(service);
+    const VersionedItem* brought = nullptr;
+    for (const VersionedItem& x : c.items)
       if (x.name == service && !(before && before->version >= x.version)) brought = &x;
-    if (const Item* stands = brought ? brought : before; !stands || stands->dropped) return 400;
+    if (const VersionedItem* stands = brought ? brought : before; !stands || stands->dropped) return 400;
   }
-  for (const Item& i : c.items)
-    if (const Item* h = held(i.name); h && h->version == i.version && !creed::same_wording(*h, i)) return 409;
+  for (const VersionedItem& i : c.items)
+    if (const VersionedItem* h = held(i.name);
+        h && h->version == i.version && !configuration::same_wording(*h, i))
+      return 409;
   return 200;
 }
 
@@ -221,10 +225,10 @@
   }
 };
 
-inline std::string differs(const State& s, const creed::Creed& c) {
+inline std::string differs(const State& s, const configuration::ConfigurationStore& c) {
   std::string told = s.floor == c.floor() ? "" : ", another floor";
   for (const auto& [name, i] : s.items)
-    if (const Item* held = c.find(name); !held || *held != i)
+    if (const VersionedItem* held = c.find(name); !held || *held != i)
       told += ", " + name + (held ? " differs" : " lacks");
   for (const auto& [name, i] : c.items())
     if (!s.items.contains(name)) told += ", " + name + " beside";
@@ -272,7 +276,7 @@
     nodes_.resize(of.nodes_.size());
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       nodes_[i].disk = std::make_shared<Disk>(*of.nodes_[i].disk);
-      nodes_[i].life = of.nodes_[i].life, nodes_[i].there = of.nodes_[i].there;
+      nodes_[i].incarnation = of.nodes_[i].incarnation, nodes_[i].there = of.nodes_[i].there;
       nodes_[i].disk->lose_power(0);
     }
     truth_.strikes += int(nodes_.size());
@@ -284,14 +288,14 @@
   std::vector<Step> options(bool drawn) const;
   bool take(const Step& s);  // false: it can't be done now
 
-  // What tells two states apart: what each life has heard since its start, what is under way, what operators
-  // know.
+  // What tells two states apart: what each incarnation has heard since its start, what is under way, what
+  // operators know.
   std::uint64_t print() const {
     std::uint64_t h = mixed(known(), truth_.print);
     for (const int x : {left_.deaths, left_.torn, left_.wipes, left_.olds, left_.doubles, left_.agains,
                         left_.ticks, left_.leaps})
       h = mixed(h, std::uint64_t(x));
-    for (const Node& n : nodes_) h = mixed(h, n.keep ? n.story : mixed(n.life * 2, n.disk->print()));
+    for (const Node& n : nodes_) h = mixed(h, n.keep ? n.story : mixed(n.incarnation * 2, n.disk->print()));
     for (const auto& [l, copies] : net_)
       h = mixed(mixed(h, std::get<2>(l)),
                 std::uint64_t(copies * 4096 + std::get<0>(l) * 64 + std::get<1>(l)));
@@ -327,13 +331,13 @@
 
  private:
   struct Node {
-    std::unique_ptr<creed::Creed> creed;
-    std::unique_ptr<rumour::Rumour> rumour;
+    std::unique_ptr<configuration::ConfigurationStore> creed;
+    std::unique_ptr<gossip::Gossip> rumour;
     std::unique_ptr<Store> store;
-    std::unique_ptr<locus::Keep> keep;
+    std::unique_ptr<control_plane::ReplicatedState> keep;
     std::shared_ptr<Disk> disk = std::make_shared<Disk>(), older;
     bool there = false, cut = false, frozen = false, leaving = false;
-    std::uint64_t life = 0, story = 0, looked = 0, number = 0, epoch = 0;
+    std::uint64_t incarnation = 0, story = 0, looked = 0, number = 0, epoch = 0;
     std::int64_t now = 0, ahead = 0;  // its clock, and by how much that is before the world's
     std::deque<std::pair<std::int64_t, std::uint64_t>>
         past;                 // what was settled as its clock went on from there
@@ -397,7 +401,7 @@
     return false;
   }
   // Another call than a refused one has brought this; or its own, sent another time.
-  bool brought(const Item& i) const {
+  bool brought(const VersionedItem& i) const {
     return std::any_of(live_.begin(), live_.end(), [&](const Live& l) {
       return (l.status < 400 || l.status >= 500) && l.call->brings(i);
     });
@@ -432,16 +436,16 @@
   if (is <= does::twice) {
     const std::string& b = std::get<2>(letter);
     const auto ballot = [](const consensus::Ballot& x) { return std::to_string(x.round) + "/" + x.proposer; };
-    if (!locus::among_cores(b))
-      s += std::string(" ") + rumours[int(rumour::kind_of(b)) & 7];
+    if (!control_plane::among_cores(b))
+      s += std::string(" ") + rumours[int(gossip::kind_of(b)) & 7];
     else
       s += std::string(" ") + kinds[(int(b[0]) - 16) % 6];
-    if (b[0] == char(locus::kind::ask))
-      if (const auto a = locus::read_whole<locus::Asking>(b))
+    if (b[0] == char(control_plane::kind::ask))
+      if (const auto a = control_plane::read_whole<control_plane::ConsensusRequest>(b))
         s += std::string(" ") + phases[int(a->ask.what)] + " " + a->ask.name + " " + ballot(a->ask.ballot) +
              " of " + std::to_string(a->ask.value.version);
-    if (b[0] == char(locus::kind::answer))
-      if (const auto a = locus::read_whole<locus::Answering>(b))
+    if (b[0] == char(control_plane::kind::answer))
+      if (const auto a = control_plane::read_whole<control_plane::ConsensusReply>(b))
         s += std::string(" ") + phases[int(a->reply.what)] + " " + ballot(a->reply.ballot) + " " +
              std::to_string(int(a->reply.how)) + " accepted " + std::to_string(a->reply.value.version) +
              " holds " + std::to_string(a->holds.number);
@@ -488,15 +492,15 @@
     b->truth.states[b->truth.top()] = std::make_shared<const State>(std::move(s));
     for (auto& d : b->disks) {
       if (d->empty()) continue;
-      std::vector<trove::KeyValueStore::Entry> pairs(d->lasts.begin(), d->lasts.end());
-      const auto k =
-          boost::leaf::try_handle_all([&] { return locus::kept(pairs); }, [] { return locus::Kept{}; });
-      trove::KeyValueStore::WriteBatch batch;
-      locus::Own own = *k.own;
+      std::vector<storage::KeyValueStore::Entry> pairs(d->lasts.begin(), d->lasts.end());
+      const auto k = boost::leaf::try_handle_all([&] { return control_plane::kept(pairs); },
+                                                 [] { return control_plane::StoreContents{}; });
+      storage::KeyValueStore::WriteBatch batch;
+      control_plane::StoreHeader own = *k.own;
       own.floor = own.holds.number;
-      locus::put(batch, own);
-      for (const Item& i : k.items)
-        if (i.dropped) locus::drop(batch, i.name);
+      control_plane::put(batch, own);
+      for (const VersionedItem& i : k.items)
+        if (i.dropped) control_plane::drop(batch, i.name);
       Disk::apply(d->lasts, batch);
     }
   }
@@ -666,7 +670,7 @@
     case does::leave:
       if (!awake || n.leaving) return false;
       --left_.leaves, n.leaving = true;
-      return act(s.who, -1, [&](rumour::Outbox& out) { n.keep->leave(n.now, out); }), true;
+      return act(s.who, -1, [&](gossip::Outbox& out) { n.keep->leave(n.now, out); }), true;
     case does::cut:
       return !n.cut && (--left_.cuts, n.cut = true);
     case does::mend:
@@ -687,9 +691,9 @@
 
 inline void World::start(int i, bool first) {
   Node& n = nodes_[i];
-  n.creed = std::make_unique<creed::Creed>();
-  ++n.life;
-  n.story = mixed(n.disk->print(), n.life);
+  n.creed = std::make_unique<configuration::ConfigurationStore>();
+  ++n.incarnation;
+  n.story = mixed(n.disk->print(), n.incarnation);
   n.now = clock_ + n.ahead;
   n.frozen = n.leaving = false;
   n.past.clear(), n.least = n.looked = n.number = n.epoch = 0;
@@ -697,14 +701,14 @@
   for (int c = 0; c < (first ? plot_.voters : int(nodes_.size())); ++c)
     if (nodes_[c].there && (first || (c != i && seeds.size() < 3))) seeds.push_back(machine(c));
   if (!first && seeds.size() < 3) seeds.push_back(machine(i));
-  n.rumour = std::make_unique<rumour::Rumour>(rumour::Self{machine(i), "zone", true}, n.life, seeds, *n.creed,
-                                              std::uint32_t(i));
+  n.rumour = std::make_unique<gossip::Gossip>(gossip::Self{machine(i), "zone", true}, n.incarnation, seeds,
+                                              *n.creed, std::uint32_t(i));
   n.store = std::make_unique<Store>(n.disk);
-  n.keep = std::make_unique<locus::Keep>(machine(i), *n.creed, *n.rumour, *n.store,
-                                         mixed(n.life, std::uint64_t(i)));
+  n.keep = std::make_unique<control_plane::ReplicatedState>(machine(i), *n.creed, *n.rumour, *n.store,
+                                                            mixed(n.incarnation, std::uint64_t(i)));
   const std::string why = trouble_of<void>([&] { return n.keep->begin(n.now, first, seeds); });
   if (!why.empty()) return fail("core " + std::to_string(i) + " does not start: " + why);
-  act(i, -1, [&](rumour::Outbox& out) { n.rumour->state(n.now, {}, out), n.keep->tick(n.now, out); });
+  act(i, -1, [&](gossip::Outbox& out) { n.rumour->state(n.now, {}, out), n.keep->tick(n.now, out); });
 }
 
 inline void World::kill(int i) {
@@ -717,13 +721,13 @@
 
 inline std::string World::store_of(int i) const {
   const auto held = nodes_[i].disk->written();
-  const auto it = held.find(std::string(locus::own_name));
+  const auto it = held.find(std::string(control_plane::own_name));
   if (it == held.end()) return {};
   const auto k = boost::leaf::try_handle_all(
       [&] {
-        return locus::kept({{it->first, it->second}});
+        return control_plane::kept({{it->first, it->second}});
       },
-      [] { return locus::Kept{}; });
+      [] { return control_plane::StoreContents{}; });
   return k.own && k.own->machine == machine(i) ? k.own->store : std::string();  // else it is a copy
 }
 
@@ -782,7 +786,7 @@
 template <typename F>
 void World::act(int i, int spared, const F& f) {
   Node& n = nodes_[i];
-  rumour::Outbox out;
+  gossip::Outbox out;
   n.store->spared = spared;
   f(out);
   n.store->spared = -1;
@@ -796,8 +800,8 @@
 inline void World::post(int from, Machine to, std::string bytes) {
   const int at = int(to) - 100;
   if (at < 0 || at >= int(nodes_.size()) || (at != from && (nodes_[from].cut || nodes_[at].cut))) return;
-  if (!(heals_ && begun_) && !locus::among_cores(bytes) && !plot_.gossip) return;
-  if (!heals_ && bytes[0] == char(locus::kind::beat) && !plot_.beats) return;
+  if (!(heals_ && begun_) && !control_plane::among_cores(bytes) && !plot_.gossip) return;
+  if (!heals_ && bytes[0] == char(control_plane::kind::beat) && !plot_.beats) return;
   if (all_ && at == from) return deliver({from, at, std::move(bytes)}, -1);
   ++net_[{from, at, std::move(bytes)}];
 }
@@ -807,11 +811,11 @@
   Node& n = nodes_[to];
   if (!n.keep) return;
   n.story = mixed(mixed(n.story, bytes), std::uint64_t(from));
-  act(to, spared, [&, from = from, &bytes = bytes](rumour::Outbox& out) {
-    if (locus::among_cores(bytes))
-      n.keep->heard(n.now, machine(from), bytes, out);
+  act(to, spared, [&, from = from, &bytes = bytes](gossip::Outbox& out) {
+    if (control_plane::among_cores(bytes))
+      n.keep->on_datagram(n.now, machine(from), bytes, out);
     else
-      n.rumour->whole(n.keep->fresh(n.now)), n.rumour->heard(n.now, machine(from), bytes, out);
+      n.rumour->whole(n.keep->fresh(n.now)), n.rumour->on_datagram(n.now, machine(from), bytes, out);
   });
 }
 
@@ -819,7 +823,7 @@
   Node& n = nodes_[i];
   pass(n, clock_ + n.ahead);
   n.story = mixed(n.story, std::uint64_t(n.now));
-  act(i, -1, [&](rumour::Outbox& out) { n.keep->tick(n.now, out), n.rumour->tick(n.now, out); });
+  act(i, -1, [&](gossip::Outbox& out) { n.keep->tick(n.now, out), n.rumour->tick(n.now, out); });
   for (const Live& l : live_)
     if (l.core == i && l.status < 0 && nodes_[i].keep && n.now - l.began >= patience)
       fail("an order is left without an answer past its time");
@@ -839,11 +843,11 @@
     truth_.strikes += 4, truth_.fewest = std::min<std::size_t>(
                              truth_.fewest, std::stoul(c.order.text));  // from three to seven
   n.story = mixed(mixed(n.story, c.order.text), std::uint64_t(c.order.is));
-  act(i, -1, [&](rumour::Outbox& out) {
-    const auto done = [this, id, life = n.life](locus::Outcome o) {
+  act(i, -1, [&](gossip::Outbox& out) {
+    const auto done = [this, id, incarnation = n.incarnation](control_plane::RequestOutcome o) {
       Live& l = live_[id];
       const Node& at = nodes_[l.core];
-      if (l.status >= 0 || at.life != life || !at.store || at.store->died) return;
+      if (l.status >= 0 || at.incarnation != incarnation || !at.store || at.store->died) return;
       if (o.status != 503 && at.now - l.began >= patience)
         fail("answered " + std::to_string(o.status) + " past its time");
       l.status = o.status, l.body = std::move(o.body), l.until = truth_.top();
@@ -914,15 +918,15 @@
   const auto key = [](const std::string& name, const consensus::Ballot& b) {
     return name + "/" + std::to_string(b.round) + "/" + b.proposer;
   };
-  if (bytes[0] == char(locus::kind::ask)) {
-    const auto a = locus::read_whole<locus::Asking>(bytes);
+  if (bytes[0] == char(control_plane::kind::ask)) {
+    const auto a = control_plane::read_whole<control_plane::ConsensusRequest>(bytes);
     if (!a || a->ask.what != consensus::phase::accept) return;
     auto& bid = truth_.bids[key(a->ask.name, a->ask.ballot)];
     if (bid.value.version > 0 && bid.value != a->ask.value) fail("two values under one ballot");
     bid.value = a->ask.value;
     if (bid.under.version == 0) bid.under = a->ask.voters;
-  } else if (bytes[0] == char(locus::kind::answer)) {
-    const auto a = locus::read_whole<locus::Answering>(bytes);
+  } else if (bytes[0] == char(control_plane::kind::answer)) {
+    const auto a = control_plane::read_whole<control_plane::ConsensusReply>(bytes);
     if (!a || a->reply.what != consensus::phase::accept || a->reply.how != consensus::verdict::yes) return;
     for (auto& [name, bid] : truth_.bids) {
       if (!name.ends_with(key("", a->reply.ballot)) || bid.value.version == 0) continue;
@@ -932,9 +936,9 @@
       truth_.print += mixed(mixed(1, of), a->reply.store);
       if (it->second != bid.value.by + bid.value.text) fail("two values of one number were chosen: " + of);
     }
-  } else if (rumour::kind_of(bytes) == rumour::kind::news) {
-    const auto news = rumour::read<rumour::News>(bytes);
-    for (const Item& i : news ? news->items : std::vector<Item>()) {
+  } else if (gossip::kind_of(bytes) == gossip::kind::news) {
+    const auto news = gossip::read<gossip::UpdateMessage>(bytes);
+    for (const VersionedItem& i : news ? news->items : std::vector<VersionedItem>()) {
       const auto it = truth_.states.find(i.at);
       const bool known = it != truth_.states.end() && it->second->items.contains(i.name) &&
                          it->second->items.at(i.name) == i;
@@ -942,8 +946,8 @@
       if (!known && !(nodes_[from].keep && nodes_[from].keep->number() >= i.at && i.at > truth_.top()))
         fail("handed to nodes, and not settled: " + i.name);
     }
-  } else if (rumour::kind_of(bytes) == rumour::kind::digest) {
-    const auto told = rumour::read<rumour::Told>(bytes);
+  } else if (gossip::kind_of(bytes) == gossip::kind::digest) {
+    const auto told = gossip::read<gossip::DigestMessage>(bytes);
     const Node& n = nodes_[from];
     if (told && told->whole && n.keep && n.keep->number() < n.least)
       fail("core " + std::to_string(from) + " hands out as whole what is older than " +
@@ -951,12 +955,12 @@
   }
 }
 
-// What each life holds after each of its steps.
+// What each incarnation holds after each of its steps.
 inline void World::look(int i) {
   Node& n = nodes_[i];
   const std::string who = "core " + std::to_string(i);
   const std::uint64_t number = n.keep->number();
-  if (number < n.number) fail(who + " went back within a life");
+  if (number < n.number) fail(who + " went back within a incarnation");
   if (number != n.number && number > 0) n.number = number, settled(n);
   if (n.looked != n.creed->changes()) {
     n.looked = n.creed->changes();
@@ -989,7 +993,7 @@
     fail(who + " says that it is fresh, and is older than " + std::to_string(in_contact / 1000) + " ms");
 }
 
-// A core holds the state of a number for the first time in its life.
+// A core holds the state of a number for the first time in its incarnation.
 inline void World::settled(Node& n) {
   const std::string at = std::to_string(n.number);
   if (const auto it = truth_.states.find(n.number); it != truth_.states.end()) {
@@ -1000,7 +1004,8 @@
   const State none;
   const State& before = truth_.states.empty() ? none : *truth_.states.rbegin()->second;
   if (n.number != truth_.top() + 1) fail("number " + at + " is held and the one before it never was");
-  auto s = std::make_shared<State>(State{n.creed->items(), n.creed->floor(), creed::written_out(*n.creed)});
+  auto s = std::make_shared<State>(
+      State{n.creed->items(), n.creed->floor(), configuration::written_out(*n.creed)});
   for (const auto& [name, was] : before.items)
     if (const auto it = s->items.find(name); it == s->items.end()) {
       if (!was.dropped || was.at > s->floor)
@@ -1042,7 +1047,7 @@
     const auto against = [&](const Live& o) {
       return o.status == 200 && o.call != &c &&
              (o.call->clashes(c) ||
-              std::any_of(o.call->items.begin(), o.call->items.end(), [&](const Item& i) {
+              std::any_of(o.call->items.begin(), o.call->items.end(), [&](const VersionedItem& i) {
                 return i.dropped && std::any_of(c.needs.begin(), c.needs.end(),
                                                 [&](const auto& x) { return x.second == i.name; });
               }));
@@ -1053,10 +1058,10 @@
       fail("refused with " + std::to_string(l.status) + told +
            ", and nothing that stood since it began says so: " + c.order.text);
     for (const auto& [n, s] : truth_.states)
-      for (const Item& i : c.items)
+      for (const VersionedItem& i : c.items)
         if (const auto it = s->items.find(i.name); n > l.before && it != s->items.end() &&
-                                                   it->second.at == n && creed::same_wording(it->second, i) &&
-                                                   !brought(i))
+                                                   it->second.at == n &&
+                                                   configuration::same_wording(it->second, i) && !brought(i))
           fail("refused" + told + ", and in force: " + i.name);
   } else if (l.status != 503) {
     fail("told " + std::to_string(l.status) + told);
@@ -1122,8 +1127,9 @@
   static const Call read = reading();
   // Fewer machines than seats, or than were asked for: none can be given anew.
   std::size_t seats = std::max(truth_.voters.now.size(), truth_.voters.next.size());
-  if (const State& s = *truth_.states.rbegin()->second; s.items.contains(std::string(locus::size_name)))
-    seats = std::max<std::size_t>(seats, std::stoul(s.items.at(std::string(locus::size_name)).text));
+  if (const State& s = *truth_.states.rbegin()->second;
+      s.items.contains(std::string(control_plane::size_name)))
+    seats = std::max<std::size_t>(seats, std::stoul(s.items.at(std::string(control_plane::size_name)).text));
   if (std::size_t(std::count_if(nodes_.begin(), nodes_.end(), [](const Node& n) { return n.there; })) < seats)
     return;
   if (!until(15 * second, seed, [&] { return truth_.agreed() && agree(); }))
@@ -1139,7 +1145,7 @@
     if (!nodes_[i].keep) continue;
     if (!taken(read, i, 3 * second, seed))
       return fail("after a further loss core " + std::to_string(i) + " can't be read");
-    own_.push_back(change(first_call(creed::version_text(1'000'000 + truth_.top()), 1)));
+    own_.push_back(change(first_call(configuration::version_text(1'000'000 + truth_.top()), 1)));
     if (!taken(own_.back(), i, 3 * second, seed))
       return fail("after a further loss core " + std::to_string(i) + " takes no order");
   }
--- a/tests/mesh/trove_test.cpp
+++ b/tests/mesh/storage_test.cpp
@@ -8,7 +8,7 @@
 #include <cstdio>
 #include <optional>
 
-#include "../../src/trove/offline_reader.h"
+#include "../../src/storage/offline_reader.h"
 #include "store_history.h"
 
 #include <CppUTest/TestHarness.h>
@@ -54,8 +54,9 @@
     Random random(seed);
     RecordingFileSystem files(folder_.path);
     std::unique_ptr<KeyValueStore> store;
-    std::string errors = open_and_read(
-        store, contents, [&] { return trove::open_leveldb_store(folder_.path, files, small_write_buffer); });
+    std::string errors = open_and_read(store, contents, [&] {
+      return storage::open_leveldb_store(folder_.path, files, small_write_buffer);
+    });
     for (std::size_t i = 1; i <= 60 || !files.has_background_work(); ++i) {
       files.run_background_work();
       const auto batch = draw_batch(random, i, contents);
@@ -97,7 +98,7 @@
 struct Observation {
   std::string error;  // of opening and reading; empty: none
   Contents contents;
-  trove::OfflineContents offline;
+  storage::OfflineContents offline;
 };
 
 // Reads the store offline, which must leave its files as they are, and then opens it.
@@ -105,8 +106,8 @@
   Observation observation;
   ::setenv("TMPDIR", fs::path(folder).parent_path().c_str(), 1);  // where copies go
   const auto before = read_files(folder);
-  const std::string offline_error = trouble_of<void>([&]() -> trove::result<void> {
-    BOOST_LEAF_ASSIGN(observation.offline, trove::read_offline(folder));
+  const std::string offline_error = trouble_of<void>([&]() -> storage::result<void> {
+    BOOST_LEAF_ASSIGN(observation.offline, storage::read_offline(folder));
     return {};
   });
   if (!offline_error.empty()) observation.offline.corruption.push_back(offline_error);
@@ -115,7 +116,7 @@
   RecordingFileSystem files(folder);
   std::unique_ptr<KeyValueStore> store;
   observation.error = open_and_read(store, observation.contents, [&] {
-    return trove::open_leveldb_store(folder, files, small_write_buffer);
+    return storage::open_leveldb_store(folder, files, small_write_buffer);
   });
   files.run_background_work();
   return observation;
@@ -227,7 +228,7 @@
 TEST(Disk, the_offline_reader_creates_no_store_and_refuses_one_that_is_in_use) {
   const StoreFolder folder;
   const auto offline_error = [&] {
-    return trouble_of<trove::OfflineContents>([&] { return trove::read_offline(folder.path); });
+    return trouble_of<storage::OfflineContents>([&] { return storage::read_offline(folder.path); });
   };
   CHECK(offline_error().starts_with("open|" + folder.path + "|"));
   CHECK_FALSE(fs::exists(folder.path));
@@ -251,7 +252,7 @@
   CHECK_EQUAL(1, ::read(ready[0], &is_locked, 1));
   const std::string offline = offline_error();
   const std::string opened =
-      trouble_of<std::unique_ptr<KeyValueStore>>([&] { return trove::open_leveldb_store(folder.path); });
+      trouble_of<std::unique_ptr<KeyValueStore>>([&] { return storage::open_leveldb_store(folder.path); });
   for (const int descriptor : {done[1], done[0], ready[0], ready[1]}) ::close(descriptor);
   int status = 1;
   ::waitpid(child, &status, 0);
@@ -281,7 +282,7 @@
   write_with_plain_leveldb(folder.path, "1");
   for (const char* log : {"/000005.log", "/000006.log"})  // one that is no longer needed, and the last
     std::ofstream(folder.path + log, std::ios::app) << "torn";
-  const auto open = [&] { return trove::open_leveldb_store(folder.path); };
+  const auto open = [&] { return storage::open_leveldb_store(folder.path); };
   Contents contents;
   for (int run = 0; run < 2; ++run) {
     std::unique_ptr<KeyValueStore> store;
@@ -329,7 +330,7 @@
     std::unique_ptr<KeyValueStore> store;
     Contents contents;
     const std::string error = open_and_read(
-        store, contents, [&] { return trove::open_leveldb_store(folder.path, files, small_write_buffer); });
+        store, contents, [&] { return storage::open_leveldb_store(folder.path, files, small_write_buffer); });
     if (!error.empty()) {
       CHECK(files.has_failed);
       continue;
@@ -345,7 +346,7 @@
   RecordingFileSystem files(folder.path);
   Contents contents;
   std::unique_ptr<KeyValueStore> store;
-  const auto open = [&] { return trove::open_leveldb_store(folder.path, files); };
+  const auto open = [&] { return storage::open_leveldb_store(folder.path, files); };
   STRCMP_EQUAL("", open_and_read(store, contents, open).c_str());
   Random random(3);
   std::uint64_t largest = 0;
@@ -356,7 +357,7 @@
     files.run_background_work();
     files.operations.clear();
     if (i % 500 != 0) continue;
-    trouble_of<void>([&]() -> trove::result<void> {
+    trouble_of<void>([&]() -> storage::result<void> {
       BOOST_LEAF_AUTO(size, store->size_on_disk());
       largest = std::max(largest, size);
       return {};
--- a/tests/mesh/store_history.h
+++ b/tests/mesh/store_history.h
@@ -10,13 +10,13 @@
 #include <string>
 #include <vector>
 
-#include "../../src/trove/leveldb_store.h"
+#include "../../src/storage/leveldb_store.h"
 #include "help.h"
 #include "simulated_disk.h"
 
 namespace robinpin::mesh_test::disk {
 
-using trove::KeyValueStore;
+using storage::KeyValueStore;
 using Durability = KeyValueStore::Durability;
 using Contents = std::map<std::string, std::string>;
 
@@ -45,9 +45,10 @@
 };
 
 // Opens a store and reads it completely. The error's text; empty: none.
-inline std::string open_and_read(std::unique_ptr<KeyValueStore>& store, Contents& contents,
-                                 const std::function<trove::result<std::unique_ptr<KeyValueStore>>()>& open) {
-  return trouble_of<void>([&]() -> trove::result<void> {
+inline std::string open_and_read(
+    std::unique_ptr<KeyValueStore>& store, Contents& contents,
+    const std::function<storage::result<std::unique_ptr<KeyValueStore>>()>& open) {
+  return trouble_of<void>([&]() -> storage::result<void> {
     BOOST_LEAF_ASSIGN(store, open());
     BOOST_LEAF_AUTO(entries, store->read_all());
     contents = Contents(entries.begin(), entries.end());
@@ -140,8 +141,9 @@
 
   std::string open_store(RecordingFileSystem& files, std::unique_ptr<KeyValueStore>& store,
                          Contents& contents) {
-    return open_and_read(store, contents,
-                         [&] { return trove::open_leveldb_store(folder_.path, files, small_write_buffer); });
+    return open_and_read(store, contents, [&] {
+      return storage::open_leveldb_store(folder_.path, files, small_write_buffer);
+    });
   }
 
   std::string open_and_check(RecordingFileSystem& files) {
--- a/tests/mesh/stored_data_test.cpp
+++ b/tests/mesh/stored_data_test.cpp
@@ -26,12 +26,12 @@
 #include <thread>
 #include <vector>
 
-#include "../../src/locus/disk.h"
+#include "../../src/control_plane/persistence.h"
 #include "../../src/rehearse/daemon.h"
-#include "../../src/span/udp_transport.h"
-#include "../../src/span/address.h"
-#include "../../src/trove/offline_reader.h"
-#include "../../src/trove/leveldb_store.h"
+#include "../../src/transport/udp_transport.h"
+#include "../../src/transport/address.h"
+#include "../../src/storage/offline_reader.h"
+#include "../../src/storage/leveldb_store.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -217,13 +217,14 @@
   CHECK(expected.IsObject());
   for (const auto& machine : expected["machines"].GetArray()) {
     const bool is_read = boost::leaf::try_handle_all(
-        [&]() -> trove::result<bool> {
-          BOOST_LEAF_AUTO(store, trove::open_leveldb_store(stores.store(machine["machine"].GetInt())));
+        [&]() -> storage::result<bool> {
+          BOOST_LEAF_AUTO(store, storage::open_leveldb_store(stores.store(machine["machine"].GetInt())));
           BOOST_LEAF_AUTO(pairs, store->read_all());
-          BOOST_LEAF_AUTO(kept, locus::kept(pairs));
+          BOOST_LEAF_AUTO(kept, control_plane::kept(pairs));
           CHECK(kept.own.has_value());
           STRCMP_EQUAL(machine["store"].GetString(), kept.own->store.c_str());
-          STRCMP_EQUAL(machine["settings"]["ip"].GetString(), span::format_address(kept.own->machine).c_str());
+          STRCMP_EQUAL(machine["settings"]["ip"].GetString(),
+                       transport::format_address(kept.own->machine).c_str());
           LONGS_EQUAL(machine["number"].GetUint64(), kept.own->holds.number);
           LONGS_EQUAL(machine["floor"].GetUint64(), kept.own->floor);
           LONGS_EQUAL(machine["epoch"].GetUint64(), kept.own->voters.version);
@@ -236,23 +237,24 @@
             const consensus::Seat* seat = kept.own->voters.seat(voter["store"].GetString());
             CHECK(seat != nullptr);
             STRCMP_EQUAL(voter["machine"].GetString(),
-                         span::format_address(rumour::Machine(std::stoul(seat->address))).c_str());
+                         transport::format_address(gossip::Machine(std::stoul(seat->address))).c_str());
           }
           const auto& items = expected["items"];
           LONGS_EQUAL(items.Size(), kept.items.size());
-          std::map<std::string, creed::Item> by_name;
+          std::map<std::string, configuration::VersionedItem> by_name;
           for (const auto& item : kept.items) by_name[item.name] = item;
           for (const auto& item : items.GetArray()) {
-            const creed::Item wanted{item["name"].GetString(), item["version"].GetUint64(),
-                                     item["dropped"].GetBool(), item["text"].GetString(),
-                                     item["at"].GetUint64()};
+            const configuration::VersionedItem wanted{item["name"].GetString(), item["version"].GetUint64(),
+                                                      item["dropped"].GetBool(), item["text"].GetString(),
+                                                      item["at"].GetUint64()};
             const auto found = by_name.find(wanted.name);
             CHECK_TEXT(found != by_name.end() && found->second == wanted, wanted.name.c_str());
           }
           return true;
         },
-        [](const trove::Error& trouble) {
-          FAIL((trove::to_string(trouble.step) + std::string(" ") + trouble.peer + ": " + trouble.reason).c_str());
+        [](const storage::Error& trouble) {
+          FAIL((storage::to_string(trouble.step) + std::string(" ") + trouble.peer + ": " + trouble.reason)
+                   .c_str());
           return false;
         },
         [] { return false; });
@@ -265,7 +267,7 @@
   int standing = 0, dropped = 0, evacuations = 0;
   for (const auto& item : expected["items"].GetArray()) {
     (item["dropped"].GetBool() ? dropped : standing) += 1;
-    evacuations += std::string_view(item["name"].GetString()).starts_with(creed::evacuation_mark);
+    evacuations += std::string_view(item["name"].GetString()).starts_with(configuration::evacuation_mark);
   }
   CHECK(standing >= 250);
   CHECK(dropped >= 80);
--- a/tests/mesh/udp_test.cpp
+++ b/tests/mesh/udp_test.cpp
@@ -5,9 +5,9 @@
 #include <memory>
 #include <vector>
 
-#include "../../src/rumour/rumour.h"
-#include "../../src/span/udp_transport.h"
-#include "../../src/span/address.h"
+#include "../../src/gossip/gossip.h"
+#include "../../src/transport/udp_transport.h"
+#include "../../src/transport/address.h"
 #include "help.h"
 
 #include <CppUTest/TestHarness.h>
@@ -24,28 +24,28 @@
 class Machines {
  public:
   Machines(int members, int cores) {
-    std::vector<rumour::Machine> seeds;
+    std::vector<gossip::Machine> seeds;
     for (int i = 0; i < cores; ++i) seeds.push_back(address(i));
     for (std::uint16_t port = 22'000; nodes_.empty() && port < 22'400; ++port) open(port, members + cores);
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       Node& n = *nodes_[i];
-      n.rumour = std::make_unique<rumour::Rumour>(
-          rumour::Self{n.machine, std::string("zone-") + char('a' + i % 3), i < seeds.size()}, 1, seeds,
+      n.rumour = std::make_unique<gossip::Gossip>(
+          gossip::Self{n.machine, std::string("zone-") + char('a' + i % 3), i < seeds.size()}, 1, seeds,
           n.creed, std::uint32_t(i + 1));
       n.rumour->whole(i < seeds.size());
-      n.udp->set_handler([this, &n](rumour::Machine from, std::string_view bytes) {
-        act(n, [&](rumour::Outbox& out) { n.rumour->heard(now(), from, bytes, out); });
+      n.udp->set_handler([this, &n](gossip::Machine from, std::string_view bytes) {
+        act(n, [&](gossip::Outbox& out) { n.rumour->on_datagram(now(), from, bytes, out); });
       });
-      act(n, [&](rumour::Outbox& out) { n.rumour->state(now(), {}, out); });
+      act(n, [&](gossip::Outbox& out) { n.rumour->state(now(), {}, out); });
       cores_ = seeds.size();
     }
   }
   bool opened() const { return !nodes_.empty(); }
   // Known to all cores, told of by the first.
-  void settle(const std::vector<creed::Item>& items) {
+  void settle(const std::vector<configuration::VersionedItem>& items) {
     for (std::size_t i = 0; i < cores_; ++i)
-      for (const creed::Item& item : items) nodes_[i]->creed.take(item);
-    act(*nodes_[0], [&](rumour::Outbox& out) { nodes_[0]->rumour->spread(items, out); });
+      for (const configuration::VersionedItem& item : items) nodes_[i]->creed.take(item);
+    act(*nodes_[0], [&](gossip::Outbox& out) { nodes_[0]->rumour->spread(items, out); });
   }
   bool agree() const {
     for (const auto& n : nodes_)
@@ -60,7 +60,7 @@
       io_.restart();
       if (now() >= next_tick_) {
         next_tick_ = now() + 100'000;
-        for (auto& n : nodes_) act(*n, [&](rumour::Outbox& out) { n->rumour->tick(now(), out); });
+        for (auto& n : nodes_) act(*n, [&](gossip::Outbox& out) { n->rumour->tick(now(), out); });
       }
     }
     return std::min(limit, steady_clock::now() - begun);
@@ -68,12 +68,14 @@
 
  private:
   struct Node {
-    rumour::Machine machine = 0;
-    creed::Creed creed;
-    std::unique_ptr<rumour::Rumour> rumour;
-    std::unique_ptr<span::UdpTransport> udp;
+    gossip::Machine machine = 0;
+    configuration::ConfigurationStore creed;
+    std::unique_ptr<gossip::Gossip> rumour;
+    std::unique_ptr<transport::UdpTransport> udp;
   };
-  static rumour::Machine address(int i) { return span::parse_address("127.0.22.1") + rumour::Machine(i); }
+  static gossip::Machine address(int i) {
+    return transport::parse_address("127.0.22.1") + gossip::Machine(i);
+  }
   static std::int64_t now() {
     return std::chrono::duration_cast<std::chrono::microseconds>(steady_clock::now().time_since_epoch())
         .count();
@@ -82,8 +84,8 @@
     for (int i = 0; i < count; ++i) {
       auto n = std::make_unique<Node>();
       n->machine = address(i);
-      mesh_test::trouble_of<void>([&]() -> trove::result<void> {
-        BOOST_LEAF_ASSIGN(n->udp, span::UdpTransport::open(io_, n->machine, port));
+      mesh_test::trouble_of<void>([&]() -> storage::result<void> {
+        BOOST_LEAF_ASSIGN(n->udp, transport::UdpTransport::open(io_, n->machine, port));
         return {};
       });
       if (!n->udp) return nodes_.clear();
@@ -92,7 +94,7 @@
   }
   template <typename F>
   void act(Node& n, const F& f) {
-    rumour::Outbox out;
+    gossip::Outbox out;
     f(out);
     for (const auto& d : out) n.udp->send(d.to, d.bytes);
   }
@@ -103,8 +105,8 @@
   std::int64_t next_tick_ = 0;
 };
 
-std::vector<creed::Item> routes(const std::string& prefix, int count, std::uint64_t number) {
-  std::vector<creed::Item> items;
+std::vector<configuration::VersionedItem> routes(const std::string& prefix, int count, std::uint64_t number) {
+  std::vector<configuration::VersionedItem> items;
   for (int i = 0; i < count; ++i)
     items.push_back({prefix + std::to_string(i), number, false, std::string(300, 'x'), number});
   return items;
@@ -130,20 +132,20 @@
 TEST(Udp, a_burst_of_a_hundred_datagrams_waits_for_a_reader_that_is_late_where_the_kernel_grants_it) {
   constexpr std::size_t count = 100, size = 12'000;
   asio::io_context io;
-  std::unique_ptr<span::UdpTransport> a, b;
-  const auto at_a = span::parse_address("127.0.23.1"), at_b = span::parse_address("127.0.23.2");
+  std::unique_ptr<transport::UdpTransport> a, b;
+  const auto at_a = transport::parse_address("127.0.23.1"), at_b = transport::parse_address("127.0.23.2");
   for (std::uint16_t port = 22'400; !b && port < 22'800; ++port) {
     a.reset();
-    mesh_test::trouble_of<void>([&]() -> trove::result<void> {
-      BOOST_LEAF_ASSIGN(a, span::UdpTransport::open(io, at_a, port));
-      BOOST_LEAF_ASSIGN(b, span::UdpTransport::open(io, at_b, port));
+    mesh_test::trouble_of<void>([&]() -> storage::result<void> {
+      BOOST_LEAF_ASSIGN(a, transport::UdpTransport::open(io, at_a, port));
+      BOOST_LEAF_ASSIGN(b, transport::UdpTransport::open(io, at_b, port));
       return {};
     });
   }
   CHECK(a && b);
   std::size_t heard = 0, granted = 0;
   std::ifstream("/proc/sys/net/core/rmem_max") >> granted;
-  b->set_handler([&](rumour::Machine, std::string_view) { ++heard; });
+  b->set_handler([&](gossip::Machine, std::string_view) { ++heard; });
   for (std::size_t i = 0; i < count; ++i) a->send(at_b, std::string(size, 'x'));
   io.run_for(500ms);
   // The kernel takes twice what is granted, as it counts more than payload.
