--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -38,34 +38,34 @@
 void settle(Claim& c, Register& r, micros now) {
   bool again = false;
   for (int i = 0; i < 8; ++i)
-    if (const auto w = c.next(now, again)) c.ended(r.apply(*w), now);
+    if (const auto w = c.next(now, again)) c.on_outcome(r.apply(*w), now);
 }
 
 }  // namespace
 
-TEST_CASE("a holder acts by the moment it sent, not by the one when the answer came, less the drift") {
+TEST_CASE("an owner acts by the moment it sent, not by the one when the answer came, less the drift") {
   Register r;
   Claim c("night", "n1", "1", ten);
   bool again = false;
   settle(c, r, 0);
-  REQUIRE(c.holds());
-  CHECK(c.may(0).act);
-  CHECK(c.may(899).act);
-  CHECK_FALSE(c.may(900).act);
+  REQUIRE(c.is_owner());
+  CHECK(c.permission(0).act);
+  CHECK(c.permission(899).act);
+  CHECK_FALSE(c.permission(900).act);
   const auto renewal = c.next(400, again);
   REQUIRE(renewal);
-  c.ended(r.apply(*renewal), 850);
-  CHECK(c.may(1299).act);
-  CHECK_FALSE(c.may(1300).act);
+  c.on_outcome(r.apply(*renewal), 850);
+  CHECK(c.permission(1299).act);
+  CHECK_FALSE(c.permission(1300).act);
 }
 
 TEST_CASE("a step that can't end in time is not begun") {
   Register r;
   Claim c("night", "n1", "1", ten);
   settle(c, r, 0);
-  CHECK(c.may(500, 399).act);
-  CHECK_FALSE(c.may(500, 400).act);
-  CHECK_FALSE(c.may(500, -1).act);
+  CHECK(c.permission(500, 399).act);
+  CHECK_FALSE(c.permission(500, 400).act);
+  CHECK_FALSE(c.permission(500, -1).act);
 }
 
 TEST_CASE("a taker watches one unchanged count for a whole term and the drift, from when it first saw it") {
@@ -73,12 +73,12 @@
   Claim a("night", "n1", "1", ten), b("night", "n2", "1", ten);
   settle(a, r, 0);
   settle(b, r, 500);  // b sees the lease first at 500
-  CHECK_FALSE(b.holds());
+  CHECK_FALSE(b.is_owner());
   settle(b, r, 1599);
-  CHECK_FALSE(b.holds());
+  CHECK_FALSE(b.is_owner());
   settle(b, r, 1600);
-  CHECK(b.holds());
-  CHECK(b.may(1600).number == 2);
+  CHECK(b.is_owner());
+  CHECK(b.permission(1600).number == 2);
   SECTION("a renewal in between begins the watch anew") {
     Register other;
     Claim c("night", "n1", "1", ten), d("night", "n2", "1", ten);
@@ -87,7 +87,7 @@
     settle(c, other, 400);
     settle(d, other, 800);
     settle(d, other, 1200);
-    CHECK_FALSE(d.holds());
+    CHECK_FALSE(d.is_owner());
   }
 }
 
@@ -95,34 +95,34 @@
   Register r;
   Claim a("night", "n1", "1", ten), b("night", "n2", "1", ten);
   settle(a, r, 0);
-  a.wants(false);
+  a.set_wanted(false);
   settle(a, r, 10);
-  CHECK_FALSE(a.may(11).act);
+  CHECK_FALSE(a.permission(11).act);
   settle(b, r, 20);
-  CHECK(b.may(21).act);
-  CHECK(b.may(21).number == 2);
+  CHECK(b.permission(21).act);
+  CHECK(b.permission(21).number == 2);
 }
 
 TEST_CASE("a taking whose answer is lost is no holding until it is told apart") {
   Register r;
   Claim a("night", "n1", "1", ten);
   bool again = false;
-  a.ended(r.apply(*a.next(0, again)), 0);  // read
+  a.on_outcome(r.apply(*a.next(0, again)), 0);  // read
   const auto take = a.next(0, again);
   REQUIRE(take);
   r.apply(*take);
   Outcome lost;
   lost.how = fate::unknown;
-  a.ended(lost, 100);
-  CHECK(a.in_doubt());
-  CHECK_FALSE(a.may(110).act);
+  a.on_outcome(lost, 100);
+  CHECK(a.outcome_unknown());
+  CHECK_FALSE(a.permission(110).act);
   const auto same = a.next(200, again);
   REQUIRE(same);
   CHECK(again);
   CHECK(same->by == take->by);
-  a.ended(r.apply(*same), 250);
-  CHECK(a.may(260).act);
-  CHECK_FALSE(a.may(900).act);  // counted from the first time it was sent
+  a.on_outcome(r.apply(*same), 250);
+  CHECK(a.permission(260).act);
+  CHECK_FALSE(a.permission(900).act);  // counted from the first time it was sent
 }
 
 TEST_CASE("a node that restarts under its name holds nothing of its predecessor") {
@@ -130,16 +130,16 @@
   Claim a("night", "n1", "1", ten), again("night", "n1", "2", ten);
   settle(a, r, 0);
   settle(again, r, 100);
-  CHECK_FALSE(again.holds());
+  CHECK_FALSE(again.is_owner());
   settle(again, r, 1200);
-  CHECK(again.may(1200).number == 2);
+  CHECK(again.permission(1200).number == 2);
 }
 
 TEST_CASE("records as text and back, and what is no record") {
   Record r;
-  r.number = 7, r.renewals = 3, r.term = 1000, r.holder = "n1", r.incarnation = "ab";
+  r.number = 7, r.renewals = 3, r.term = 1000, r.owner = "n1", r.incarnation = "ab";
   CHECK(Record::read(r.text()) == r);
-  r.holder.clear();
+  r.owner.clear();
   r.incarnation.clear();
   CHECK(Record::read(r.text()) == r);
   for (const char* wrong : {"", "1 2", "1 2 x", "1 2 3 n1", "1 2 3  ab", "-1 2 3", "1 2 3 n1 ab more"})
@@ -185,7 +185,9 @@
            std::to_string(int(c.end.how)) + std::to_string(c.end.value.version);
     return s;
   }
-  int acting() const { return int(claims[0].may(clock(0)).act) + int(claims[1].may(clock(1)).act); }
+  int acting() const {
+    return int(claims[0].permission(clock(0)).act) + int(claims[1].permission(clock(1)).act);
+  }
 
   std::vector<World> after() const {
     std::vector<World> all;
@@ -218,7 +220,7 @@
         with([k](World& w) {
           const Call c = w.calls[k];
           w.calls.erase(w.calls.begin() + std::ptrdiff_t(k));
-          if (c.life == w.life[c.who]) w.claims[c.who].ended(c.end, w.clock(c.who));
+          if (c.life == w.life[c.who]) w.claims[c.who].on_outcome(c.end, w.clock(c.who));
         });
       // Given up: its sender is told that nobody knows, and it may be applied all the same, now or later.
       if (losses > 0 && calls[k].life == life[calls[k].who] && calls[k].end.how != fate::overtaken)
@@ -226,7 +228,7 @@
           --w.losses;
           Outcome o;
           o.how = w.calls[k].want.what == wish::write ? fate::unknown : fate::unreachable;
-          w.claims[w.calls[k].who].ended(o, w.clock(w.calls[k].who));
+          w.claims[w.calls[k].who].on_outcome(o, w.clock(w.calls[k].who));
           w.calls[k].life = -1;
           if (w.calls[k].stage == 1) w.calls.erase(w.calls.begin() + std::ptrdiff_t(k));
         });
