--- a/src/lease/lease.cpp
+++ b/src/lease/lease.cpp
@@ -95,12 +95,12 @@
     return send(step::renew, renewed, now);
   }
   if (owns_ || !wanted_) return std::nullopt;
-  if (may_acquire(now)) return send(step::acquire, next_owner_record(), now);
+  if (can_acquire(now)) return send(step::acquire, next_owner_record(), now);
   return now >= read_at_ ? send(step::read, {}, now) : std::nullopt;
 }
 
 // Released, or unchanged for a whole term by this clock since it was first observed here.
-bool Claim::may_acquire(micros now) const {
+bool Claim::can_acquire(micros now) const {
   if (!seen_) return false;
   const micros delay = rank_delay_ + (known_.has_owner() ? takeover_delay(known_) : 0);
   return now - version_seen_at_ >= delay;
--- a/src/lease/lease.h
+++ b/src/lease/lease.h
@@ -89,7 +89,7 @@
   void observe(const consensus::Value& value, micros now);
   void on_write_failed(const Call& call, consensus::fate fate, micros now);
   void on_written(const Call& call);
-  bool may_acquire(micros now) const;
+  bool can_acquire(micros now) const;
   Record next_owner_record() const;
   micros owner_duration() const;                      // of a term, by the owner's clock
   micros takeover_delay(const Record& record) const;  // of a term, by another node's clock
