--- a/src/sidecar/inbound_proxy.cpp
+++ b/src/sidecar/inbound_proxy.cpp
@@ -123,7 +123,7 @@
   UpstreamResult f =
       co_await upstream_.carry(std::make_shared<InFlightRequest>(), request, steady::now() + limit);
   if (const auto cold = f.header("X-Warmup-Ms");
-      !cold.empty() && f.header("X-ConsensusReply-Instance") == admission_.server().id)
+      !cold.empty() && f.header("X-Answering-Instance") == admission_.server().id)
     if (const auto ms = codec::whole_number(cold); ms >= 0) admission_.cold_for(now(), ms * 1000);
   co_return f;
 }
--- a/src/sidecar/upstream_pool.cpp
+++ b/src/sidecar/upstream_pool.cpp
@@ -19,7 +19,7 @@
 
 bool of_connection(std::string_view name, std::string_view listed) {
   static constexpr std::array own = {
-      "Connection", "ReplicatedState-Alive", "Proxy-Connection", "TE",    "Trailer",
+      "Connection", "Keep-Alive", "Proxy-Connection", "TE",    "Trailer",
       "Upgrade",    "Transfer-Encoding",     "Content-Length",   "Expect"};
   if (std::any_of(own.begin(), own.end(), [&](const char* o) { return codec::same_name(o, name); }))
     return true;
@@ -287,7 +287,7 @@
   // What its peer tells of how long it keeps an idle connection, less a little: none is met as it is being
   // closed.
   auto keep = options_.idle_limit;
-  if (const auto told_keep = c.in.header("ReplicatedState-Alive"); !told_keep.empty())
+  if (const auto told_keep = c.in.header("Keep-Alive"); !told_keep.empty())
     if (const auto at = told_keep.find("timeout="); at != told_keep.npos) {
       const auto digits = told_keep.substr(at + 8, told_keep.find_first_of(", ;", at + 8) - (at + 8));
       if (const auto s = codec::whole_number(digits); s >= 0)
--- a/tests/mesh/mesh_processes.h
+++ b/tests/mesh/mesh_processes.h
@@ -72,7 +72,7 @@
       const bool lasts = c->in.target().ends_with("/long");
       const std::string piece(lasts ? piece_size : 100, 'x');
       const std::string head = fmt::format(
-          "HTTP/1.1 200 OK\r\nX-ConsensusReply-Instance: i-{0}\r\nX-Attempt-Id: {1}\r\nX-Server-Seal: "
+          "HTTP/1.1 200 OK\r\nX-Answering-Instance: i-{0}\r\nX-Attempt-Id: {1}\r\nX-Server-Seal: "
           "{2}.{3}\r\nContent-Length: {4}\r\n\r\n",
           address_.substr(0, address_.find(':')), id, service_, c->in.body().size(),
           piece.size() * (lasts ? long_pieces : 1));
--- a/tests/mesh/sidecar_test.cpp
+++ b/tests/mesh/sidecar_test.cpp
@@ -1236,6 +1236,45 @@
   CHECK_EQUAL(2, m.runs());
 }
 
+TEST(Sidecar, a_server_that_announces_its_warmup_in_a_probes_answer_is_treated_as_cold) {
+  Mesh m(1);
+  std::string answering = "i-9";  // another instance: says nothing of this one
+  m.box(0).answer = [&](const codec::Message&) {
+    return fmt::format(
+        "HTTP/1.1 200 OK\r\nX-Answering-Instance: {}\r\nX-Warmup-Ms: 2000\r\nContent-Length: 0\r\n\r\n",
+        answering);
+  };
+  const auto probe = [&] {
+    int probed = 0;
+    asio::co_spawn(
+        m.io, [&]() -> awaitable<void> { probed = (co_await m.hand(0).probe("i-0", 1s))->status; },
+        asio::detached);
+    CHECK(m.until([&] { return probed != 0; }));
+    return probed;
+  };
+  CHECK_EQUAL(200, probe());
+  CHECK(!m.hand(0).door().cold(sidecar::steady_now()));
+  answering = "i-0";
+  CHECK_EQUAL(200, probe());
+  CHECK(m.hand(0).door().cold(sidecar::steady_now()));
+}
+
+TEST(Sidecar, a_servers_keep_alive_timeout_bounds_the_reuse_of_its_connection) {
+  Mesh m(1);
+  std::string timeout = "60";
+  m.box(0).answer = [&](const codec::Message& in) {
+    std::string answer = seal_of(in);
+    answer.insert(answer.find("\r\n") + 2, fmt::format("Keep-Alive: timeout={}\r\n", timeout));
+    return answer;
+  };
+  for (int i = 0; i < 2; ++i) CHECK_EQUAL(200, m.get("/safe/x", "Keep-Alive: timeout=5\r\n").status);
+  CHECK_EQUAL(1, m.box(0).at);
+  CHECK(m.box(0).last_head.find("Keep-Alive") == std::string::npos);  // concerns one connection only
+  timeout = "0";
+  for (int i = 0; i < 2; ++i) CHECK_EQUAL(200, m.get().status);
+  CHECK_EQUAL(2, m.box(0).at);
+}
+
 // A stray answer in the midst of an upload: it is no answer to what no server has whole, and nothing is
 // waited for.
 TEST(Sidecar, a_stray_answer_ends_an_upload_at_once_and_is_not_its_answer) {
