--- /dev/null
+++ b/src/sidecar/client_connections.cpp
@@ -0,0 +1,85 @@
+// Connections of clients: reads their requests in order and writes each answer.
+#include <fmt/format.h>
+
+#include <algorithm>
+
+#include "../rpc/server.h"
+#include "outbound_proxy.h"
+#include "proxy_limits.h"
+#include "scoped_count.h"
+
+namespace robinpin::sidecar {
+
+namespace {
+constexpr std::chrono::seconds out_limit{1};
+}  // namespace
+
+awaitable<void> OutboundProxy::serve(std::shared_ptr<Connection> c) {
+  callers_.push_back(c);
+  for (bool first = true;; first = false) {
+    if (!c->in.begun()) {
+      const configuration::Bounds& bounds = plan_->bounds;
+      if (!first) c->idle_since = steady::now();
+      c->limit(steady::now() + std::chrono::microseconds(first ? bounds.header : bounds.idle));
+      if (!c->in.behind()) {
+        asio::error_code gone;
+        co_await c->socket.async_wait(tcp::socket::wait_read,
+                                      asio::redirect_error(asio::use_awaitable, gone));
+        if (gone) co_return;
+      }
+    }
+    const ScopedCount pending(pending_, 1);
+    c->limit(steady::now() + std::chrono::microseconds(plan_->bounds.header));
+    asio::error_code error;
+    const codec::reading got =
+        c->in.whole() ? codec::reading::complete : co_await c->read(error, Source::kept, pace);
+    if (error || got == codec::reading::unfinished) co_return;
+    c->no_limit();
+    Answer a;
+    bool gone = false;
+    const auto source = got == codec::reading::longer ? std::make_shared<Source>(io_, c) : nullptr;
+    const bool read = got == codec::reading::complete || source;
+    if (!read) {
+      ++counts_.own_4xx;
+      a = own(got == codec::reading::body_too_long   ? 413
+              : got == codec::reading::head_too_long ? 431
+                                                     : 400,
+              "the request can't be read");
+    } else {
+      if (source && c->in.wants_word()) {
+        std::size_t written = 0;
+        error = co_await c->write(go_on, {}, written);
+        if (error) co_return;
+      }
+      const ScopedCount body_bytes(bodies_, source ? Source::kept : c->in.body().size());
+      most_held_ = std::max(most_held_, *bodies_);
+      if (*bodies_ <= most_bodies_)
+        a = co_await answer_to(c, source, gone);
+      else
+        ++counts_.refused, a = own(503, "this node holds all it can", unready_back);
+      while (source && source->pouring)
+        co_await source->rest.async_wait(asio::redirect_error(asio::use_awaitable, error));
+    }
+    if (gone || !c->open()) co_return;
+    const bool rest = source && !c->in.whole();
+    // What a client has sent behind this request already is answered, too, before a process ends.
+    const bool last = ending_ && !c->in.behind() && c->still();
+    const bool stays = read && !rest && c->in.keep_alive() && !last;
+    c->limit(steady::now() + write_limit);
+    const bool bare = a.status == 204 || a.status == 304;
+    const std::string head =
+        fmt::format("HTTP/1.1 {} {}\r\n{}{}{}\r\n", a.status, rpc::phrase(a.status), a.headers,
+                    bare ? "" : fmt::format("Content-Length: {}\r\n", a.body.size()),
+                    stays ? "" : "Connection: close\r\n");
+    std::size_t written = 0;
+    error = co_await c->write(head, c->in.method() == "HEAD" ? std::string_view() : std::string_view(a.body),
+                              written);
+    if (!error && rest) co_await read_out(*c);
+    if (!error && !stays) co_await c->see_out(out_limit);
+    if (error || !stays) co_return;
+    if (const auto next = c->next(); next != codec::reading::unfinished && next != codec::reading::complete)
+      co_return;
+  }
+}
+
+}  // namespace robinpin::sidecar
