--- a/bench/mesh_size.cpp
+++ b/bench/mesh_size.cpp
@@ -196,11 +196,11 @@
       std::int64_t due = std::min(until, next_step_);
       for (int i = 0; i <= cores_; ++i)
         if (const auto it = nodes.find(core(i)); it != nodes.end() && it->second.keep)
-          due = std::min(due, std::max(net.now + 100, it->second.keep->wake()));
+          due = std::min(due, std::max(net.now + 100, it->second.keep->next_deadline()));
       net.advance_to(due);
       for (int i = 0; i <= cores_; ++i)
         if (const auto it = nodes.find(core(i));
-            it != nodes.end() && it->second.keep && it->second.keep->wake() <= net.now)
+            it != nodes.end() && it->second.keep && it->second.keep->next_deadline() <= net.now)
           tick(core(i), it->second, false);
       if (net.now < next_step_) continue;
       next_step_ += 100'000 / std::int64_t(slots_.size());
@@ -601,7 +601,7 @@
     f.run(second);
     const Meter before = f.meters[m];
     f.start(m);
-    const auto took = f.until([&] { return f.nodes.at(m).keep->fresh(f.net.now); }, 30 * second);
+    const auto took = f.until([&] { return f.nodes.at(m).keep->is_current(f.net.now); }, 30 * second);
     const Meter& t = f.meters[m];
     std::printf(
         "empty     %6d items: a whole copy after %.0f ms, %.0f bytes and %llu datagrams in, processor %.1f "
@@ -622,14 +622,14 @@
   for (const auto& [m, n] : f.nodes)
     if (n.keep) {
       if (!latest || n.keep->voters().version > latest->version) latest = &n.keep->voters();
-      newest = std::max(newest, n.keep->number());
+      newest = std::max(newest, n.keep->committed_number());
     }
   if (!latest || latest->changing()) return false;
   return std::all_of(latest->now.begin(), latest->now.end(), [&](const consensus::Seat& s) {
     const auto at = f.nodes.find(Machine(std::strtoul(s.address.c_str(), nullptr, 10)));
     if (at == f.nodes.end() || !at->second.keep) return false;
     const auto& keep = *at->second.keep;
-    return keep.store() == s.store && keep.votes() && keep.number() == newest &&
+    return keep.store() == s.store && keep.is_voter() && keep.committed_number() == newest &&
            keep.voters().version == latest->version;
   });
 }
--- a/src/app/command.cpp
+++ b/src/app/command.cpp
@@ -47,7 +47,7 @@
   for (const auto& d : look.corruption) fmt::print("damaged: {}\n", d);
   return boost::leaf::try_handle_all(
       [&]() -> storage::result<int> {
-        BOOST_LEAF_AUTO(kept, control_plane::kept(look.entries));
+        BOOST_LEAF_AUTO(kept, control_plane::parse_store(look.entries));
         if (!kept.own) {
           fmt::print("empty: {} bytes\n", look.size_on_disk);
           return look.corruption.empty() ? good : faulty;
@@ -57,9 +57,9 @@
         for (const auto& i : kept.items) dropped += i.dropped;
         fmt::print("store {} of {}, counter {}, {} bytes\n", own.store,
                    transport::format_address(own.machine), own.counter, look.size_on_disk);
-        fmt::print("number {} by {}, floor {}; {} items, {} dropped\n", own.holds.number,
-                   own.holds.by.empty() ? "nobody" : own.holds.by, own.floor, kept.items.size() - dropped,
-                   dropped);
+        fmt::print("number {} by {}, floor {}; {} items, {} dropped\n", own.committed.number,
+                   own.committed.by.empty() ? "nobody" : own.committed.by, own.floor,
+                   kept.items.size() - dropped, dropped);
         fmt::print("epoch {}{}\n", own.voters.version,
                    own.voters.changing() ? ", a change of voters is under way" : "");
         for (const auto* seats : {&own.voters.now, &own.voters.next})
--- a/src/app/control_plane_process.cpp
+++ b/src/app/control_plane_process.cpp
@@ -51,13 +51,13 @@
       co_return rpc::Reply{200, status(), {}};
     });
     control_.on<rpc::Readiness>([this](rpc::Readiness) -> awaitable<rpc::Done> {
-      co_return rpc::Done{replicated_state_.fresh(now()), "not in contact with a majority of the core"};
+      co_return rpc::Done{replicated_state_.is_current(now()), "not in contact with a majority of the core"};
     });
   }
 
   storage::result<int> run() {
     BOOST_LEAF_CHECK(open());
-    BOOST_LEAF_CHECK(replicated_state_.begin(now(), settings.first_start, machines_of(settings.seed_nodes)));
+    BOOST_LEAF_CHECK(replicated_state_.start(now(), settings.first_start, machines_of(settings.seed_nodes)));
     control_.listen(node::endpoint_of(settings.ports.at("control")));
     event_log_.append(
         EventType::role_started, now(),
@@ -95,7 +95,7 @@
     const auto is = what.is;
     const std::int64_t begun = now();
     gossip::Outbox out;
-    replicated_state_.order(
+    replicated_state_.submit(
         now(), std::move(what),
         [wait](control_plane::RequestOutcome o) {
           wait->outcome = std::move(o);
@@ -125,15 +125,15 @@
     co_return rpc::Reply{status,
                          std::move(wait->outcome->body),
                          {},
-                         ages ? begun + control_plane::ReplicatedState::patience + late : 0};
+                         ages ? begun + control_plane::ReplicatedState::request_timeout + late : 0};
   }
 
   void on_datagram(gossip::Machine from, std::string_view datagram) override {
     gossip::Outbox out;
-    if (control_plane::among_cores(datagram)) {
+    if (control_plane::is_control_plane_message(datagram)) {
       replicated_state_.on_datagram(now(), from, datagram, out);
     } else {
-      gossip_.whole(replicated_state_.fresh(now()));  // as of now: this process may have stood still
+      gossip_.whole(replicated_state_.is_current(now()));  // as of now: this process may have stood still
       gossip_.on_datagram(now(), from, datagram, out);
     }
     send(out);
@@ -151,14 +151,15 @@
   // A disk that has failed once is believed no more: the process ends, and whoever starts it anew reads what
   // lasts.
   void after() {
-    if (replicated_state_.failed() && !failed_) {
+    if (replicated_state_.storage_failure() && !failed_) {
       failed_ = true;
       event_log_.append(EventType::storage_failed, now(),
-                        storage::to_string(replicated_state_.failed()->step) + std::string(" ") +
-                            replicated_state_.failed()->peer + ": " + replicated_state_.failed()->reason);
+                        storage::to_string(replicated_state_.storage_failure()->step) + std::string(" ") +
+                            replicated_state_.storage_failure()->peer + ": " +
+                            replicated_state_.storage_failure()->reason);
       io_.stop();
     }
-    if (const bool is = replicated_state_.fresh(now()); is != was_fresh_) {
+    if (const bool is = replicated_state_.is_current(now()); is != was_fresh_) {
       was_fresh_ = is;
       event_log_.append(is ? EventType::replica_current : EventType::replica_stale, now());
     }
@@ -171,14 +172,14 @@
           EventType::voters_changed, now(),
           fmt::format("epoch={} changing={} who={}", epoch_, replicated_state_.voters().changing(), who));
     }
-    if (leaving_ && replicated_state_.may_go()) io_.stop();
+    if (leaving_ && replicated_state_.may_stop()) io_.stop();
     arm();
     changed();
   }
 
   // Between two ticks, where something is due sooner.
   void arm() {
-    const std::int64_t at = replicated_state_.wake();
+    const std::int64_t at = replicated_state_.next_deadline();
     if (at >= now() + 100'000 || at == armed_) return;
     armed_ = at;
     wakes_.expires_after(std::chrono::microseconds(std::max<std::int64_t>(1'000, at - now())));
@@ -193,14 +194,14 @@
   }
 
   void learnt() override {}
-  void switched() override { replicated_state_.seeds(machines_of(settings.seed_nodes)); }
+  void switched() override { replicated_state_.set_seeds(machines_of(settings.seed_nodes)); }
 
   // A seat that somebody can take is given up first.
   void told_to_end() override {
     if (leaving_) return;
     leaving_ = true;
     gossip::Outbox out;
-    replicated_state_.leave(now(), out);
+    replicated_state_.start_leaving(now(), out);
     send(out);
     last_end_.expires_after(
         std::chrono::microseconds(std::min<std::int64_t>(settings.grace_period / 2, 2'500'000)));
@@ -217,15 +218,15 @@
     out.Key("role"), out.String("locus");
     out.Key("node"), out.String(settings.node.c_str());
     out.Key("zone"), out.String(settings.zone.c_str());
-    out.Key("copy_whole"), out.Bool(replicated_state_.fresh(now()));
+    out.Key("copy_whole"), out.Bool(replicated_state_.is_current(now()));
     out.Key("store"), out.String(replicated_state_.store().c_str());
-    out.Key("votes"), out.Bool(replicated_state_.votes());
-    out.Key("number"), out.Uint64(replicated_state_.number());
+    out.Key("votes"), out.Bool(replicated_state_.is_voter());
+    out.Key("number"), out.Uint64(replicated_state_.committed_number());
     out.Key("epoch"), out.Uint64(replicated_state_.voters().version);
     out.Key("changing"), out.Bool(replicated_state_.voters().changing());
     out.Key("floor"), out.Uint64(configuration_.floor());
     out.Key("items"), out.Uint64(configuration_.items().size());
-    out.Key("orders"), out.Uint64(replicated_state_.orders());
+    out.Key("orders"), out.Uint64(replicated_state_.pending_requests());
     out.Key("datagrams"), out.Uint64(transport_->datagrams_sent);
     out.Key("datagram_bytes"), out.Uint64(transport_->bytes_sent);
     out.Key("core"), out.StartArray();
@@ -235,12 +236,12 @@
     for (const auto& [m, p] : replicated_state_.peers()) {
       out.StartObject();
       out.Key("machine"), out.String(transport::format_address(m).c_str());
-      out.Key("store"), out.String(p.told.store.c_str());
-      out.Key("number"), out.Uint64(p.told.holds.number);
-      out.Key("votes"), out.Bool(p.told.votes);
-      out.Key("leaving"), out.Bool(p.told.leaving);
-      out.Key("heard_ms"), out.Int64((now() - p.heard) / 1000);
-      out.Key("answered_ms"), out.Int64(p.contact < 0 ? -1 : (now() - p.contact) / 1000);
+      out.Key("store"), out.String(p.heartbeat.store.c_str());
+      out.Key("number"), out.Uint64(p.heartbeat.committed.number);
+      out.Key("votes"), out.Bool(p.heartbeat.votes);
+      out.Key("leaving"), out.Bool(p.heartbeat.leaving);
+      out.Key("heard_ms"), out.Int64((now() - p.last_heard) / 1000);
+      out.Key("answered_ms"), out.Int64(p.last_contact < 0 ? -1 : (now() - p.last_contact) / 1000);
       out.EndObject();
     }
     out.EndArray();
@@ -277,7 +278,7 @@
   const auto usable = [&]() -> storage::result<std::unique_ptr<storage::KeyValueStore>> {
     BOOST_LEAF_AUTO(trove, storage::open_leveldb_store(folder));
     BOOST_LEAF_AUTO(held, trove->read_all());
-    BOOST_LEAF_CHECK(control_plane::kept(held));
+    BOOST_LEAF_CHECK(control_plane::parse_store(held));
     return trove;
   };
   return boost::leaf::try_handle_some(
--- a/src/control_plane/consensus_messages.cpp
+++ b/src/control_plane/consensus_messages.cpp
@@ -11,27 +11,27 @@
 
 namespace {
 
-constexpr std::size_t most_said = 32, longest_said = 20'000;
-constexpr std::int64_t yield = 10'000;
+constexpr std::size_t max_recent_replies = 32, max_recent_reply_bytes = 20'000;
+constexpr std::int64_t competitor_delay = 10'000;
 
 }  // namespace
 
 // Up to where another's store was seen: a copy of it from before can't pass for it. In time: a majority would
 // have to lose it with the power, beside the disk that was put back.
-void ReplicatedState::saw(const std::string& store, std::uint64_t counter) {
+void ReplicatedState::observe_counter(const std::string& store, std::uint64_t counter) {
   if (const auto change = voter_->saw(store, counter))
-    put(*change, storage::KeyValueStore::Durability::unsynced);
+    persist(*change, storage::KeyValueStore::Durability::unsynced);
 }
 
 void ReplicatedState::on_consensus_request(std::int64_t now, Machine from, const ConsensusRequest& a,
                                            Outbox& out) {
-  saw(a.store, a.counter);
-  learn(now, a.holds, out);
+  observe_counter(a.store, a.counter);
+  learn_committed(now, a.committed, out);
   // An ask that comes again is answered as it was: a promise is given once.
   const auto& ask = a.ask;
   std::string key = std::to_string(from) + " " + ask.ballot.proposer + " " +
                     std::to_string(ask.ballot.round) + " " + std::to_string(int(ask.what)) + " " + ask.store;
-  for (const auto& [asked, bytes] : said_)
+  for (const auto& [asked, bytes] : recent_replies_)
     if (asked == key) return FragmentAssembler::send(from, bytes, out);
   ConsensusReply answer;
   if (ask.what == phase::accept && ask.name == state_register && ask.store == store() &&
@@ -43,23 +43,25 @@
     continue_catch_up(now, out);
   } else {
     const auto epoch = voters().version;
-    auto heard = voter_->ask(ask);
-    if (heard.change && !put(*heard.change, storage::KeyValueStore::Durability::synced))
+    auto result = voter_->ask(ask);
+    if (result.change && !persist(*result.change, storage::KeyValueStore::Durability::synced))
       return;  // never answered before it lasts
-    if (voters().version != epoch) cores_changed(now);
-    answer.reply = std::move(heard.reply);
-    if (a.knows_text && answer.reply.value.version == a.holds.number && answer.reply.value.by == a.holds.by)
+    if (voters().version != epoch) on_voters_changed(now);
+    answer.reply = std::move(result.reply);
+    if (a.knows_text && answer.reply.value.version == a.committed.number &&
+        answer.reply.value.by == a.committed.by)
       answer.reply.value.text.clear();
   }
-  answer.holds = committed_;
-  auto bytes = written(kind::answer, answer);
+  answer.committed = committed_;
+  auto bytes = encode(MessageType::consensus_reply, answer);
   if (answer.reply.how == verdict::yes && ask.what == phase::prepare) {
     // Who is at it is let finish: two that outbid each other get on more slowly than one after the other.
     if (from != self_ && !attempt_)
-      not_before_ = std::max(not_before_, now + yield + std::int64_t(chance_() % std::uint64_t(yield)));
-    if (bytes.size() > longest_said) return FragmentAssembler::send(from, std::move(bytes), out);
-    if (said_.size() >= most_said) said_.pop_front();
-    said_.emplace_back(std::move(key), bytes);
+      next_proposal_ = std::max(
+          next_proposal_, now + competitor_delay + std::int64_t(random_() % std::uint64_t(competitor_delay)));
+    if (bytes.size() > max_recent_reply_bytes) return FragmentAssembler::send(from, std::move(bytes), out);
+    if (recent_replies_.size() >= max_recent_replies) recent_replies_.pop_front();
+    recent_replies_.emplace_back(std::move(key), bytes);
   }
   FragmentAssembler::send(from, std::move(bytes), out);
 }
@@ -67,26 +69,26 @@
 void ReplicatedState::on_consensus_reply(std::int64_t now, Machine from, ConsensusReply a, Outbox& out) {
   consensus::Reply& r = a.reply;
   if (r.how == verdict::not_me) return;
-  saw(r.store, r.counter);
+  observe_counter(r.store, r.counter);
   if (r.value.version > 0 && r.value.text.empty()) {  // what this core knew as it asked
-    if (r.value.version != last_.version || r.value.by != last_.by) return;
-    r.value.text = last_.text;
+    if (r.value.version != last_committed_.version || r.value.by != last_committed_.by) return;
+    r.value.text = last_committed_.text;
   }
-  for (auto* attempt : {&attempt_, &seats_}) {
+  for (auto* attempt : {&attempt_, &voter_change_}) {
     if (!*attempt) continue;
     const auto asked = (*attempt)->unanswered.find(r.store);
-    if (asked == (*attempt)->unanswered.end() || asked->second.first != from)
+    if (asked == (*attempt)->unanswered.end() || asked->second.to != from)
       continue;  // a copy of a disk elsewhere is not the one asked
     round_ = std::max(round_, r.promised.round);
-    if ((*attempt)->answers(r.ballot) && (r.how == verdict::lower || r.how == verdict::stale))
-      (*attempt)->refused = true;
+    if ((*attempt)->matches(r.ballot) && (r.how == verdict::lower || r.how == verdict::stale))
+      (*attempt)->rejected = true;
     consensus::Step step = (*attempt)->proposal.heard(r);
-    take_step(now, *attempt, std::move(step), out);
+    perform_step(now, *attempt, std::move(step), out);
     if (*attempt && r.how == verdict::yes && r.what == (*attempt)->proposal.stage() &&
-        (*attempt)->answers(r.ballot))
+        (*attempt)->matches(r.ballot))
       (*attempt)->unanswered.erase(r.store);
   }
-  learn(now, a.holds, out);
+  learn_committed(now, a.committed, out);
 }
 
 }  // namespace robinpin::control_plane
--- a/src/control_plane/messages.h
+++ b/src/control_plane/messages.h
@@ -1,5 +1,5 @@
-// What cores say to each other, as datagrams by cereal; longer ones in parts. Each is told from a rumour by
-// its first byte.
+// Messages among control-plane machines: one datagram each, encoded by cereal; longer ones go as fragments.
+// The first byte tells them from gossip messages. Fields are encoded by position: their order is the format.
 #pragma once
 
 #include <cereal/types/utility.hpp>
@@ -18,39 +18,40 @@
 
 namespace robinpin::consensus {
 
-// As its number: what reads a datagram has no words for an enumeration.
+// Encodes an enumeration as one byte.
 template <typename A, typename E>
-void numbered(A& a, E& x) {
-  auto n = std::uint8_t(x);
+void numbered(A& a, E& value) {
+  auto n = std::uint8_t(value);
   a(n);
-  x = E(n);
+  value = E(n);
 }
 template <typename A>
-void serialize(A& a, Ballot& x) {
-  a(x.round, x.proposer);
+void serialize(A& a, Ballot& value) {
+  a(value.round, value.proposer);
 }
 template <typename A>
-void serialize(A& a, Value& x) {
-  a(x.version, x.text, x.by);
+void serialize(A& a, Value& value) {
+  a(value.version, value.text, value.by);
 }
 template <typename A>
-void serialize(A& a, Seat& x) {
-  a(x.voter, x.store, x.address);
+void serialize(A& a, Seat& value) {
+  a(value.voter, value.store, value.address);
 }
 template <typename A>
-void serialize(A& a, Voters& x) {
-  a(x.version, x.now, x.next);
+void serialize(A& a, Voters& value) {
+  a(value.version, value.now, value.next);
 }
 template <typename A>
-void serialize(A& a, Ask& x) {
-  numbered(a, x.what);
-  a(x.store, x.name, x.ballot, x.value, x.voters, x.seen);
+void serialize(A& a, Ask& value) {
+  numbered(a, value.what);
+  a(value.store, value.name, value.ballot, value.value, value.voters, value.seen);
 }
 template <typename A>
-void serialize(A& a, Reply& x) {
-  numbered(a, x.how);
-  numbered(a, x.what);
-  a(x.store, x.ballot, x.promised, x.accepted, x.value, x.voters, x.counter, x.names);
+void serialize(A& a, Reply& value) {
+  numbered(a, value.how);
+  numbered(a, value.what);
+  a(value.store, value.ballot, value.promised, value.accepted, value.value, value.voters, value.counter,
+    value.names);
 }
 
 }  // namespace robinpin::consensus
@@ -60,13 +61,20 @@
 using gossip::Machine;
 using gossip::Outbox;
 
-enum class kind : std::uint8_t { ask = 16, answer, beat, fetch, fetched, part };
-inline bool among_cores(std::string_view datagram) {
-  return !datagram.empty() && std::uint8_t(datagram[0]) >= std::uint8_t(kind::ask);
+enum class MessageType : std::uint8_t {
+  consensus_request = 16,
+  consensus_reply,
+  heartbeat,
+  catch_up_request,
+  catch_up_response,
+  fragment
+};
+inline bool is_control_plane_message(std::string_view datagram) {
+  return !datagram.empty() && std::uint8_t(datagram[0]) >= std::uint8_t(MessageType::consensus_request);
 }
 
-// Which number its sender holds as settled, and which attempt brought that: who has accepted just that one
-// holds it, too.
+// The committed number that the sender holds, and the write that committed it (`by`): a voter that has
+// accepted exactly this write may apply it.
 struct CommittedPosition {
   std::uint64_t number = 0;
   std::string by;
@@ -77,27 +85,30 @@
   friend bool operator==(const CommittedPosition&, const CommittedPosition&) = default;
 };
 
+// A request of the consensus protocol, from a proposer to a voter.
 struct ConsensusRequest {
   consensus::Ask ask;
-  CommittedPosition holds;
-  bool knows_text = false;  // of what it holds: an answer need not bring it again
-  std::string store;        // its sender's, and how far that is
+  CommittedPosition committed;
+  bool knows_text = false;  // the sender has the text of `committed`: the reply may leave it out
+  std::string store;        // the sender's store, and its counter of changes
   std::uint64_t counter = 0;
   template <typename A>
   void serialize(A& a) {
-    a(ask, holds, knows_text, store, counter);
+    a(ask, committed, knows_text, store, counter);
   }
 };
 
+// A voter's reply to a ConsensusRequest.
 struct ConsensusReply {
-  consensus::Reply reply;  // its counter is its sender's
-  CommittedPosition holds;
+  consensus::Reply reply;  // with the counter of the voter's store
+  CommittedPosition committed;
   template <typename A>
   void serialize(A& a) {
-    a(reply, holds);
+    a(reply, committed);
   }
 };
 
+// Sent to each peer periodically, and as the reply to one.
 struct PeerHeartbeat {
   std::uint64_t incarnation = 0,
                 sequence = 0;  // of its sender's process, drawn; grows with each: a late one can be known
@@ -105,9 +116,9 @@
   bool answer = false;
   std::string store;
   std::uint64_t counter = 0;
-  std::string yours;  // whose counter `seen` is
-  std::uint64_t seen = 0;
-  CommittedPosition holds;
+  std::string peer_store;  // whose counter `seen` is
+  std::uint64_t peer_counter = 0;
+  CommittedPosition committed;
   std::uint64_t accepted = 0;  // the number in its own register, perhaps not settled
   consensus::Voters voters;
   bool votes = false;    // its disk is known to be the latest of its store
@@ -117,12 +128,12 @@
       ages;  // of each voter's store, milliseconds since it was heard
   template <typename A>
   void serialize(A& a) {
-    a(incarnation, sequence, echo, answer, store, counter, yours, seen, holds, accepted, voters, votes, ready,
-      leaving, ages);
+    a(incarnation, sequence, echo, answer, store, counter, peer_store, peer_counter, committed, accepted,
+      voters, votes, ready, leaving, ages);
   }
 };
 
-struct Cursor {  // all items up to it are held, in the order of (at, name)
+struct Cursor {  // all items up to here have arrived, in the order of (at, name)
   std::uint64_t at = 0;
   std::string name;
   template <typename A>
@@ -132,8 +143,9 @@
   friend auto operator<=>(const Cursor&, const Cursor&) = default;
 };
 
+// Asks a peer for the items that changed after a position.
 struct CatchUpRequest {
-  std::uint64_t id = 0;  // of this catching up: drawn, never used twice
+  std::uint64_t id = 0;  // of this transfer: drawn, never used twice
   Cursor after;
   template <typename A>
   void serialize(A& a) {
@@ -141,19 +153,21 @@
   }
 };
 
+// A part of the items asked for.
 struct CatchUpResponse {
   std::uint64_t id = 0;
-  CommittedPosition holds;  // as its sender held when it wrote this
-  std::uint64_t floor = 0;  // of its dropped names
+  CommittedPosition committed;  // as of the time of this response
+  std::uint64_t floor = 0;      // names dropped at or below this number are no longer kept
   Cursor after, upto;
   bool last = false, burst_ends = false;
   std::vector<configuration::VersionedItem> items;
   template <typename A>
   void serialize(A& a) {
-    a(id, holds, floor, after, upto, last, burst_ends, items);
+    a(id, committed, floor, after, upto, last, burst_ends, items);
   }
 };
 
+// A part of a message that is longer than a datagram.
 struct MessageFragment {
   std::uint64_t id = 0;  // of the whole message: its hash
   std::uint32_t size = 0, from = 0;
@@ -165,79 +179,83 @@
 };
 
 template <typename T>
-std::string written(kind k, const T& said) {
-  return gossip::written(gossip::kind(std::uint8_t(k)), said);
+std::string encode(MessageType type, const T& message) {
+  return gossip::written(gossip::kind(std::uint8_t(type)), message);
 }
 
 template <typename T>
-std::optional<T> read_whole(std::string_view message) {
+std::optional<T> decode(std::string_view message) {
   if (message.size() < 2) return std::nullopt;
   try {
     gossip::Reading archive(message.substr(1));
-    T said;
-    archive(said);
-    return said;
+    T decoded;
+    archive(decoded);
+    return decoded;
   } catch (const std::exception&) {  // lengths that the message does not hold
     return std::nullopt;
   }
 }
 
-// Messages longer than a datagram. What is lost of one is made good when it is sent again: parts add up.
+// Splits messages that are longer than a datagram, and assembles their fragments. Fragments of a message that
+// is sent again complete those that arrived before.
 class FragmentAssembler {
  public:
-  static constexpr std::size_t part_bytes = 12'000, longest = 6'500'000, most = 24,
-                               most_bytes = 24'000'000;  // being put together; the oldest goes
+  static constexpr std::size_t fragment_bytes = 12'000, max_message_bytes = 6'500'000, max_messages = 24,
+                               max_total_bytes = 24'000'000;  // being put together; the oldest goes
 
   static void send(Machine to, std::string message, Outbox& out) {
-    if (message.size() <= part_bytes) return out.push_back({to, std::move(message)});
-    if (message.size() > longest) return;
-    MessageFragment p;
-    p.id = configuration::hashed(message);
-    p.size = std::uint32_t(message.size());
-    for (std::size_t at = 0; at < message.size(); at += part_bytes) {
-      p.from = std::uint32_t(at);
-      p.bytes = message.substr(at, part_bytes);
-      out.push_back({to, written(kind::part, p)});
+    if (message.size() <= fragment_bytes) return out.push_back({to, std::move(message)});
+    if (message.size() > max_message_bytes) return;
+    MessageFragment fragment;
+    fragment.id = configuration::hashed(message);
+    fragment.size = std::uint32_t(message.size());
+    for (std::size_t at = 0; at < message.size(); at += fragment_bytes) {
+      fragment.from = std::uint32_t(at);
+      fragment.bytes = message.substr(at, fragment_bytes);
+      out.push_back({to, encode(MessageType::fragment, fragment)});
     }
   }
-  // The whole message, once its last part is there.
+  // Returns the message when `datagram` is its last missing fragment.
   std::optional<std::string> on_datagram(Machine from, std::string_view datagram) {
-    const auto p = read_whole<MessageFragment>(datagram);
-    if (!p || p->size > longest || p->from % part_bytes != 0 || p->from >= p->size ||
-        p->bytes.size() != std::min<std::size_t>(part_bytes, p->size - p->from))
+    const auto fragment = decode<MessageFragment>(datagram);
+    if (!fragment || fragment->size > max_message_bytes || fragment->from % fragment_bytes != 0 ||
+        fragment->from >= fragment->size ||
+        fragment->bytes.size() != std::min<std::size_t>(fragment_bytes, fragment->size - fragment->from))
       return std::nullopt;
-    const Key key{from, p->id, p->size};
+    const Key key{from, fragment->id, fragment->size};
     auto it = open_.find(key);
     if (it == open_.end()) {
-      while (!order_.empty() && (order_.size() >= most || held_ + p->size > most_bytes))
+      while (!order_.empty() &&
+             (order_.size() >= max_messages || reserved_bytes_ + fragment->size > max_total_bytes))
         close(Key(order_.front()));
-      held_ += p->size;
-      it = open_.emplace(key, Open{std::string(p->size, '\0'), {}}).first;
+      reserved_bytes_ += fragment->size;
+      it = open_.emplace(key, Open{std::string(fragment->size, '\0'), {}}).first;
       order_.push_back(key);
     }
-    Open& o = it->second;
-    if (o.there.insert(p->from).second) p->bytes.copy(o.bytes.data() + p->from, p->bytes.size());
-    if (o.there.size() * part_bytes < p->size) return std::nullopt;
-    std::string whole = std::move(o.bytes);
+    Open& message = it->second;
+    if (message.received.insert(fragment->from).second)
+      fragment->bytes.copy(message.bytes.data() + fragment->from, fragment->bytes.size());
+    if (message.received.size() * fragment_bytes < fragment->size) return std::nullopt;
+    std::string complete = std::move(message.bytes);
     close(key);
-    if (configuration::hashed(whole) != p->id) return std::nullopt;
-    return whole;
+    if (configuration::hashed(complete) != fragment->id) return std::nullopt;
+    return complete;
   }
 
  private:
   using Key = std::tuple<Machine, std::uint64_t, std::uint32_t>;
   struct Open {
     std::string bytes;
-    std::set<std::uint32_t> there;
+    std::set<std::uint32_t> received;
   };
   void close(const Key& key) {
-    held_ -= std::get<2>(key);
+    reserved_bytes_ -= std::get<2>(key);
     open_.erase(key);
     std::erase(order_, key);
   }
   std::map<Key, Open> open_;
   std::deque<Key> order_;
-  std::size_t held_ = 0;  // bytes
+  std::size_t reserved_bytes_ = 0;  // bytes
 };
 
 }  // namespace robinpin::control_plane
--- a/src/control_plane/persistence.cpp
+++ b/src/control_plane/persistence.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 template <typename T>
-std::string text_of(const T& x) {
+std::string encode_record(const T& x) {
   std::ostringstream out;
   cereal::BinaryOutputArchive archive(out);
   archive(x);
@@ -23,7 +23,7 @@
 }
 
 template <typename T>
-bool read_text(std::string_view text, T& x) {
+bool decode_record(std::string_view text, T& x) {
   try {
     gossip::Reading archive(text);
     archive(x);
@@ -35,47 +35,49 @@
 
 }  // namespace
 
-storage::result<StoreContents> kept(const std::vector<storage::KeyValueStore::Entry>& held) {
-  StoreContents k;
+storage::result<StoreContents> parse_store(const std::vector<storage::KeyValueStore::Entry>& entries) {
+  StoreContents contents;
   const auto damaged = [](const std::string& name) {
     return boost::leaf::new_error(storage::Error{storage::Error::Step::corruption, name, "can't be read"});
   };
-  for (const auto& [name, text] : held) {
-    if (name == own_name) {
+  for (const auto& [name, text] : entries) {
+    if (name == header_key) {
       StoreHeader own;
-      if (!read_text(text, own) || own.written_as != form) return damaged(name);
-      k.own = std::move(own);
-    } else if (name.starts_with(item_mark)) {
-      if (!read_text(text, k.items.emplace_back())) return damaged(name);
-    } else if (name.starts_with(slot_mark)) {
-      if (!read_text(text, k.slots[name.substr(slot_mark.size())])) return damaged(name);
+      if (!decode_record(text, own) || own.format != format_version) return damaged(name);
+      contents.own = std::move(own);
+    } else if (name.starts_with(item_prefix)) {
+      if (!decode_record(text, contents.items.emplace_back())) return damaged(name);
+    } else if (name.starts_with(slot_prefix)) {
+      if (!decode_record(text, contents.slots[name.substr(slot_prefix.size())])) return damaged(name);
     } else {
       return damaged(name);
     }
   }
-  if (!k.own && !held.empty()) return damaged(std::string(own_name));
-  return k;
+  if (!contents.own && !entries.empty()) return damaged(std::string(header_key));
+  return contents;
 }
 
-std::string packed(const std::vector<configuration::VersionedItem>& items) { return text_of(items); }
+std::string encode_items(const std::vector<configuration::VersionedItem>& items) {
+  return encode_record(items);
+}
 
-std::optional<std::vector<configuration::VersionedItem>> unpacked(std::string_view text) {
+std::optional<std::vector<configuration::VersionedItem>> decode_items(std::string_view text) {
   std::vector<configuration::VersionedItem> items;
-  if (!read_text(text, items)) return std::nullopt;
+  if (!decode_record(text, items)) return std::nullopt;
   return items;
 }
 
 void put(storage::KeyValueStore::WriteBatch& batch, const StoreHeader& own) {
-  batch.puts.emplace_back(own_name, text_of(own));
+  batch.puts.emplace_back(header_key, encode_record(own));
 }
 void put(storage::KeyValueStore::WriteBatch& batch, const std::string& name, const consensus::Slot& slot) {
-  batch.puts.emplace_back(std::string(slot_mark) + name, text_of(slot));
+  batch.puts.emplace_back(std::string(slot_prefix) + name, encode_record(slot));
 }
 void put(storage::KeyValueStore::WriteBatch& batch, const configuration::VersionedItem& item) {
-  batch.puts.emplace_back(std::string(item_mark) + item.name, text_of(item));
+  batch.puts.emplace_back(std::string(item_prefix) + item.name, encode_record(item));
 }
 void drop(storage::KeyValueStore::WriteBatch& batch, const std::string& item) {
-  batch.removals.push_back(std::string(item_mark) + item);
+  batch.removals.push_back(std::string(item_prefix) + item);
 }
 
 }  // namespace robinpin::control_plane
--- a/src/control_plane/persistence.h
+++ b/src/control_plane/persistence.h
@@ -1,5 +1,5 @@
-// A core's records in its trove: who this copy is, what it has promised and accepted, the settled state. Free
-// of I/O beside the trove.
+// Records of a control-plane machine in its store: the identity of this copy, what its voter has promised and
+// accepted, and the committed configuration. Encodes and decodes only; does no I/O.
 #pragma once
 
 #include <optional>
@@ -13,36 +13,38 @@
 
 namespace robinpin::control_plane {
 
-constexpr std::string_view own_name = "own", item_mark = "i/", slot_mark = "slot/";
-constexpr std::uint32_t form = 2;  // of the records; one of another is no copy
+constexpr std::string_view header_key = "own", item_prefix = "i/", slot_prefix = "slot/";
+constexpr std::uint32_t format_version = 2;  // of the records; a store of another version is not read
 
-struct StoreHeader {  // beside items and slots
-  std::uint32_t written_as = form;
-  Machine machine = 0;  // a disk that is read at another address was copied or moved
+// The record of the store itself, beside items and slots. Encoded by position.
+struct StoreHeader {
+  std::uint32_t format = format_version;
+  Machine machine = 0;  // a store that is loaded at another address was copied or moved
   std::string store;
   std::uint64_t counter = 0;
   consensus::Voters voters;
   std::vector<std::pair<std::string, std::uint64_t>> seen;
-  CommittedPosition holds;
+  CommittedPosition committed;
   std::uint64_t floor = 0;
   template <typename A>
   void serialize(A& a) {
-    a(written_as, machine, store, counter, voters, seen, holds, floor);
+    a(format, machine, store, counter, voters, seen, committed, floor);
   }
 };
 
+// All records of a store.
 struct StoreContents {             // all that a disk holds
-  std::optional<StoreHeader> own;  // none: an empty one
+  std::optional<StoreHeader> own;  // none: the store is empty
   std::map<std::string, consensus::Slot> slots;
   std::vector<configuration::VersionedItem> items;
 };
 
-// Errors: Step::corruption: a record can't be read, or there are some without the one that says whose they
-// are.
-storage::result<StoreContents> kept(const std::vector<storage::KeyValueStore::Entry>& held);
+// Errors: Step::corruption: a record can't be decoded, or there are records without a header.
+storage::result<StoreContents> parse_store(const std::vector<storage::KeyValueStore::Entry>& entries);
 
-std::string packed(const std::vector<configuration::VersionedItem>& items);
-std::optional<std::vector<configuration::VersionedItem>> unpacked(std::string_view text);
+// The text of the state's register: the items of one change. decode_items returns nothing for other text.
+std::string encode_items(const std::vector<configuration::VersionedItem>& items);
+std::optional<std::vector<configuration::VersionedItem>> decode_items(std::string_view text);
 
 void put(storage::KeyValueStore::WriteBatch& batch, const StoreHeader& own);
 void put(storage::KeyValueStore::WriteBatch& batch, const std::string& name, const consensus::Slot& slot);
--- a/src/control_plane/replicated_state.cpp
+++ b/src/control_plane/replicated_state.cpp
@@ -15,116 +15,120 @@
 namespace {
 
 // Before a machine's disk has one of its own: all founders know each other's.
-std::string founder(Machine m) { return "founder-" + text_of(m); }
+std::string founder(Machine m) { return "founder-" + format_address(m); }
 
 }  // namespace
 
-ReplicatedState::ReplicatedState(Machine self, configuration::ConfigurationStore& creed,
-                                 gossip::Gossip& rumour, storage::KeyValueStore& trove, std::uint64_t chance,
-                                 Spans spans)
+ReplicatedState::ReplicatedState(Machine self, configuration::ConfigurationStore& configuration,
+                                 gossip::Gossip& gossip, storage::KeyValueStore& storage,
+                                 std::uint64_t random_seed, Timeouts timeouts)
     : self_(self),
-      configuration_(creed),
-      gossip_(rumour),
-      storage_(trove),
-      spans_(spans),
-      chance_(chance),
-      incarnation_(chance_()),
-      proposer_(text_of(self) + "/" + hex(incarnation_)) {}
-
-storage::result<void> ReplicatedState::begin(std::int64_t now, bool first_start,
+      configuration_(configuration),
+      gossip_(gossip),
+      storage_(storage),
+      timeouts_(timeouts),
+      random_(random_seed),
+      incarnation_(random_()),
+      proposer_(format_address(self) + "/" + hex(incarnation_)) {}
+
+storage::result<void> ReplicatedState::start(std::int64_t now, bool first_start,
                                              const std::vector<Machine>& seeds) {
-  begun_ = now;
+  started_at_ = now;
   seeds_ = seeds;
-  BOOST_LEAF_AUTO(held, storage_.read_all());
-  BOOST_LEAF_AUTO(disk, kept(held));
+  BOOST_LEAF_AUTO(entries, storage_.read_all());
+  BOOST_LEAF_AUTO(contents, parse_store(entries));
   consensus::Memory memory;
-  bool known = false, changed = true;
+  bool is_known_store = false, changed = true;
   storage::KeyValueStore::WriteBatch batch;
-  if (disk.own) {
-    for (const auto& i : disk.items) configuration_.take(i);
-    configuration_.floor(disk.own->floor);
-    committed_ = disk.own->holds;
-    memory.voters = disk.own->voters;
-    if (disk.own->machine == self_) {
-      memory.store = disk.own->store;
-      memory.counter = disk.own->counter;
-      memory.slots = std::move(disk.slots);
-      memory.seen.insert(disk.own->seen.begin(), disk.own->seen.end());
-      known = true, changed = false;
+  if (contents.own) {
+    for (const auto& i : contents.items) configuration_.take(i);
+    configuration_.floor(contents.own->floor);
+    committed_ = contents.own->committed;
+    memory.voters = contents.own->voters;
+    if (contents.own->machine == self_) {
+      memory.store = contents.own->store;
+      memory.counter = contents.own->counter;
+      memory.slots = std::move(contents.slots);
+      memory.seen.insert(contents.own->seen.begin(), contents.own->seen.end());
+      is_known_store = true, changed = false;
       if (const auto it = memory.slots.find(std::string(state_register)); it != memory.slots.end())
         if (const Value& v = it->second.value; v.version == committed_.number && v.by == committed_.by)
-          last_ = v;
+          last_committed_ = v;
     } else {  // copied or moved: what it holds was settled, but it is another copy
-      memory.store = hex(chance_());
-      for (const auto& [name, slot] : disk.slots) batch.removals.push_back(std::string(slot_mark) + name);
+      memory.store = hex(random_());
+      for (const auto& [name, slot] : contents.slots)
+        batch.removals.push_back(std::string(slot_prefix) + name);
     }
-  } else if (const bool founds = first_start && std::find(seeds.begin(), seeds.end(), self_) != seeds.end();
-             founds) {
+  } else if (const bool is_founder =
+                 first_start && std::find(seeds.begin(), seeds.end(), self_) != seeds.end();
+             is_founder) {
     memory.store = founder(self_);
     Voters v;
     v.version = 1;
     for (const Machine m : std::set<Machine>(seeds.begin(), seeds.end()))
-      v.now.push_back({text_of(m), founder(m), text_of(m)});
+      v.now.push_back({format_address(m), founder(m), format_address(m)});
     voter_.emplace(std::move(memory), false);
     if (const auto change = voter_->found(v);
-        !change || !put(*change, storage::KeyValueStore::Durability::synced))
-      return boost::leaf::new_error(*failed_);
+        !change || !persist(*change, storage::KeyValueStore::Durability::synced))
+      return boost::leaf::new_error(*storage_failure_);
     changed = false;
   } else {
-    memory.store = hex(chance_());
+    memory.store = hex(random_());
   }
-  if (!voter_) voter_.emplace(std::move(memory), known);
+  if (!voter_) voter_.emplace(std::move(memory), is_known_store);
   highest_known_ = committed_.number;
   if (changed) {
-    control_plane::put(batch, own());
-    if (!put(std::move(batch), storage::KeyValueStore::Durability::synced))
-      return boost::leaf::new_error(*failed_);
+    control_plane::put(batch, make_store_header());
+    if (!persist(std::move(batch), storage::KeyValueStore::Durability::synced))
+      return boost::leaf::new_error(*storage_failure_);
   }
-  cores_changed(now);
+  on_voters_changed(now);
   gossip_.whole(false);
   return {};
 }
 
-StoreHeader ReplicatedState::own() const {
+StoreHeader ReplicatedState::make_store_header() const {
   const consensus::Memory& m = voter_->memory();
-  StoreHeader own{form, self_, m.store, m.counter, m.voters, {}, committed_, configuration_.floor()};
+  StoreHeader own{format_version, self_, m.store,    m.counter,
+                  m.voters,       {},    committed_, configuration_.floor()};
   for (const auto& [store, counter] : m.seen)
     if (m.voters.seat(store)) own.seen.emplace_back(store, counter);
   return own;
 }
 
-bool ReplicatedState::put(storage::KeyValueStore::WriteBatch batch, storage::KeyValueStore::Durability how) {
-  if (failed_) return false;
+bool ReplicatedState::persist(storage::KeyValueStore::WriteBatch batch,
+                              storage::KeyValueStore::Durability how) {
+  if (storage_failure_) return false;
   return boost::leaf::try_handle_all(
       [&]() -> storage::result<bool> {
         BOOST_LEAF_CHECK(storage_.write(batch, how));
         return true;
       },
-      [&](const storage::Error& t) { return failed_ = t, false; },
+      [&](const storage::Error& t) { return storage_failure_ = t, false; },
       [&] {
-        return failed_ = storage::Error{storage::Error::Step::sync, "trove", "unknown"}, false;
+        return storage_failure_ = storage::Error{storage::Error::Step::sync, "trove", "unknown"}, false;
       });
 }
 
-bool ReplicatedState::put(const consensus::Change& change, storage::KeyValueStore::Durability how) {
+bool ReplicatedState::persist(const consensus::Change& change, storage::KeyValueStore::Durability how) {
   storage::KeyValueStore::WriteBatch batch;
-  control_plane::put(batch, own());
+  control_plane::put(batch, make_store_header());
   if (!change.name.empty()) control_plane::put(batch, change.name, change.slot);
-  return put(std::move(batch), how);
+  return persist(std::move(batch), how);
 }
 
-void ReplicatedState::told(std::int64_t now, const Voters& voters) {
+void ReplicatedState::adopt_voters(std::int64_t now, const Voters& voters) {
   if (const auto change = voter_->told(voters)) {
-    put(*change, storage::KeyValueStore::Durability::synced);
-    cores_changed(now);
+    persist(*change, storage::KeyValueStore::Durability::synced);
+    on_voters_changed(now);
   }
 }
 
-void ReplicatedState::cores_changed(std::int64_t now) {
-  listed_ = now;
+void ReplicatedState::on_voters_changed(std::int64_t now) {
+  voters_learnt_at_ = now;
   std::set<Machine> cores;
   for (const Seat& s : voters().all()) {
-    cores.insert(machine_of(s.address));
+    cores.insert(parse_address(s.address));
     last_heard_.try_emplace(s.store, now);  // silent from when it has its seat, not from before
   }
   std::erase_if(last_heard_, [&](const auto& heard) { return !voters().seat(heard.first); });
@@ -132,114 +136,116 @@
 }
 
 // Of an older or copied disk: what it holds was settled once, but it is no copy that others may count on.
-void ReplicatedState::become(std::string store) {
+void ReplicatedState::start_new_identity(std::string store) {
   storage::KeyValueStore::WriteBatch batch;
   for (const auto& [name, slot] : voter_->memory().slots)
-    batch.removals.push_back(std::string(slot_mark) + name);
+    batch.removals.push_back(std::string(slot_prefix) + name);
   consensus::Memory memory;
   memory.store = std::move(store);
   memory.voters = voters();
   voter_.emplace(std::move(memory), false);
-  said_.clear();
-  control_plane::put(batch, own());
-  put(std::move(batch), storage::KeyValueStore::Durability::synced);
+  recent_replies_.clear();
+  control_plane::put(batch, make_store_header());
+  persist(std::move(batch), storage::KeyValueStore::Durability::synced);
 }
 
-std::uint64_t ReplicatedState::accepted() const {
+std::uint64_t ReplicatedState::accepted_number() const {
   const auto& slots = voter_->memory().slots;
   const auto it = slots.find(std::string(state_register));
   return it == slots.end() ? 0 : it->second.value.version;
 }
 
-consensus::Ballot ReplicatedState::ballot() { return {++round_, proposer_}; }
+consensus::Ballot ReplicatedState::next_ballot() { return {++round_, proposer_}; }
 
 void ReplicatedState::on_datagram(std::int64_t now, Machine from, std::string_view datagram, Outbox& out) {
-  expire(now);
+  expire_requests(now);
   std::optional<std::string> whole;
-  if (!datagram.empty() && kind(datagram[0]) == kind::part) {
+  if (!datagram.empty() && MessageType(datagram[0]) == MessageType::fragment) {
     whole = fragments_.on_datagram(from, datagram);
     if (!whole) return;
     datagram = *whole;
   }
-  if (datagram.empty() || failed_) return;
-  switch (kind(datagram[0])) {
-    case kind::ask:
-      if (const auto a = read_whole<ConsensusRequest>(datagram)) on_consensus_request(now, from, *a, out);
+  if (datagram.empty() || storage_failure_) return;
+  switch (MessageType(datagram[0])) {
+    case MessageType::consensus_request:
+      if (const auto a = decode<ConsensusRequest>(datagram)) on_consensus_request(now, from, *a, out);
       break;
-    case kind::answer:
-      if (auto a = read_whole<ConsensusReply>(datagram)) on_consensus_reply(now, from, std::move(*a), out);
+    case MessageType::consensus_reply:
+      if (auto a = decode<ConsensusReply>(datagram)) on_consensus_reply(now, from, std::move(*a), out);
       break;
-    case kind::beat:
-      if (auto b = read_whole<PeerHeartbeat>(datagram)) on_heartbeat(now, from, std::move(*b), out);
+    case MessageType::heartbeat:
+      if (auto b = decode<PeerHeartbeat>(datagram)) on_heartbeat(now, from, std::move(*b), out);
       break;
-    case kind::fetch:
-      if (const auto f = read_whole<CatchUpRequest>(datagram)) on_catch_up_request(from, *f, out);
+    case MessageType::catch_up_request:
+      if (const auto f = decode<CatchUpRequest>(datagram)) on_catch_up_request(from, *f, out);
       break;
-    case kind::fetched:
-      if (const auto f = read_whole<CatchUpResponse>(datagram)) on_catch_up_response(now, from, *f, out);
+    case MessageType::catch_up_response:
+      if (const auto f = decode<CatchUpResponse>(datagram)) on_catch_up_response(now, from, *f, out);
       break;
     default:
       return;
   }
-  work(now, out);
+  process_requests(now, out);
 }
 
 void ReplicatedState::tick(std::int64_t now, Outbox& out) {
-  expire(now);
-  if (failed_) return;
+  expire_requests(now);
+  if (storage_failure_) return;
   // Of one that has no seat any more nobody counts it: others settle without it, and it would ask for ever.
-  doubtful_since_ =
-      votes() && accepted() > committed_.number ? (doubtful_since_ > 0 ? doubtful_since_ : now) : 0;
+  undecided_since_ = is_voter() && accepted_number() > committed_.number
+                         ? (undecided_since_ > 0 ? undecided_since_ : now)
+                         : 0;
   // While the list changes whoever takes the seat has it already and stands by no more; and just after, who
   // stands by has not yet said that it knows the list. The one that leaves counts until then.
-  can_hand_over_ = voters().changing() || now - listed_ <= beat_pause || !standbys(now).empty();
-  if (now >= next_beat_) {
+  can_hand_over_ =
+      voters().changing() || now - voters_learnt_at_ <= heartbeat_period || !standbys(now).empty();
+  if (now >= next_heartbeat_) {
     // Somebody unheard is looked into at once: the sooner a seat is given away the sooner a further loss is
     // borne.
-    bool amiss = !fresh(now) || highest_known_ > committed_.number || voters().changing();
+    bool amiss = !is_current(now) || highest_known_ > committed_.number || voters().changing();
     for (const Seat& s : voters().now) {
       const auto it = last_heard_.find(s.store);
-      amiss = amiss || (s.store != store() &&
-                        now - (it == last_heard_.end() ? begun_ : it->second) > 3 * beat_pause / 2);
+      amiss = amiss || (s.store != store() && now - (it == last_heard_.end() ? started_at_ : it->second) >
+                                                  3 * heartbeat_period / 2);
     }
-    next_beat_ = now + (amiss ? beat_pause / 5 : beat_pause);
-    beat(now, out, false);
+    next_heartbeat_ = now + (amiss ? heartbeat_period / 5 : heartbeat_period);
+    send_heartbeats(now, out, false);
   }
-  if (catch_up_ && now >= catch_up_->next) continue_catch_up(now, out);
-  for (auto* attempt : {&attempt_, &seats_}) {
-    if (!*attempt || now < (*attempt)->next) continue;
-    if ((*attempt)->refused) {
+  if (catch_up_ && now >= catch_up_->next_request) continue_catch_up(now, out);
+  for (auto* attempt : {&attempt_, &voter_change_}) {
+    if (!*attempt || now < (*attempt)->next_resend) continue;
+    if ((*attempt)->rejected) {
       // A higher ballot or a later list is needed anyway: those who say nothing may be down, and aren't
       // waited for.
-      (*attempt)->refused = false;
+      (*attempt)->rejected = false;
       const auto ballot = (*attempt)->ballot;
       const auto silent = (*attempt)->unanswered;
       for (const auto& [store, asked] : silent)
-        if (*attempt && (*attempt)->answers(ballot))
-          take_step(now, *attempt, (*attempt)->proposal.lost(store, (*attempt)->proposal.stage()), out);
+        if (*attempt && (*attempt)->matches(ballot))
+          perform_step(now, *attempt, (*attempt)->proposal.lost(store, (*attempt)->proposal.stage()), out);
       continue;
     }
-    (*attempt)->pause = std::min(4 * again, 2 * (*attempt)->pause);
-    (*attempt)->next = now + (*attempt)->pause;
+    (*attempt)->resend_delay = std::min(4 * resend_interval, 2 * (*attempt)->resend_delay);
+    (*attempt)->next_resend = now + (*attempt)->resend_delay;
     for (const auto& [to, asked] : (*attempt)->unanswered)
-      FragmentAssembler::send(asked.first, asked.second, out);
+      FragmentAssembler::send(asked.to, asked.message, out);
   }
   maintain_voters(now, out);
-  work(now, out);
+  process_requests(now, out);
 }
 
-std::int64_t ReplicatedState::wake() const {
+std::int64_t ReplicatedState::next_deadline() const {
   std::int64_t at = std::numeric_limits<std::int64_t>::max();
   if (attempt_)
-    at = std::min(at, attempt_->next);
+    at = std::min(at, attempt_->next_resend);
   else if (!requests_.empty() && highest_known_ <= committed_.number)
-    at = std::min(at, not_before_);
-  if (seats_)
-    at = std::min(at, seats_->next);
+    at = std::min(at, next_proposal_);
+  if (voter_change_)
+    at = std::min(at, voter_change_->next_resend);
   else if (succession_)
-    at = std::min(at, next_seats_);
-  if (!requests_.empty()) at = std::min(at, requests_.front().until);
-  if (catch_up_) at = std::min(at, catch_up_->next);
+    at = std::min(at, next_voter_maintenance_);
+  if (!requests_.empty()) at = std::min(at, requests_.front().deadline);
+  if (catch_up_) at = std::min(at, catch_up_->next_request);
   return at;
 }
 
--- a/src/control_plane/replicated_state_internal.h
+++ b/src/control_plane/replicated_state_internal.h
@@ -13,11 +13,11 @@
 inline constexpr std::string_view state_register = "state";
 
 // Microseconds: a core machine unheard for so long is no peer any more.
-inline constexpr std::int64_t forgotten = 10'000'000;
+inline constexpr std::int64_t peer_expiry = 10'000'000;
 
 // A machine's address as the voters' list holds it, and back; 0 where the text is no number.
-inline std::string text_of(Machine m) { return std::to_string(m); }
-inline Machine machine_of(const std::string& text) {
+inline std::string format_address(Machine m) { return std::to_string(m); }
+inline Machine parse_address(const std::string& text) {
   Machine m = 0;
   std::from_chars(text.data(), text.data() + text.size(), m);
   return m;
--- a/src/control_plane/request_validation.cpp
+++ b/src/control_plane/request_validation.cpp
@@ -7,33 +7,33 @@
 namespace robinpin::control_plane {
 
 namespace {
-const RequestOutcome taken{200, "{}"};
+const RequestOutcome success{200, "{}"};
 std::size_t size_of(const configuration::VersionedItem& i) { return i.name.size() + i.text.size(); }
-static_assert(most_item + gossip::full_datagram < gossip::longest_datagram);
+static_assert(max_item_bytes + gossip::full_datagram < gossip::longest_datagram);
 }  // namespace
 
 std::vector<configuration::VersionedItem> StateView::changes() const {
   std::vector<configuration::VersionedItem> items;
-  for (const auto& [name, item] : above_) items.push_back(item);
+  for (const auto& [name, item] : changes_) items.push_back(item);
   return items;
 }
 
 std::size_t StateView::standing() const {
-  std::size_t n = stands_->standing();
-  for (const auto& [name, item] : above_) {
-    const configuration::VersionedItem* held = stands_->find(name);
+  std::size_t n = committed_->standing();
+  for (const auto& [name, item] : changes_) {
+    const configuration::VersionedItem* current = committed_->find(name);
     n += std::size_t(!item.dropped);
-    n -= std::size_t(held && !held->dropped);
+    n -= std::size_t(current && !current->dropped);
   }
   return n;
 }
 
 std::size_t StateView::bytes() const {
-  std::size_t n = stands_->bytes();
-  for (const auto& [name, item] : above_) {
-    const configuration::VersionedItem* held = stands_->find(name);
+  std::size_t n = committed_->bytes();
+  for (const auto& [name, item] : changes_) {
+    const configuration::VersionedItem* current = committed_->find(name);
     n += size_of(item);
-    n -= held ? size_of(*held) : 0;
+    n -= current ? size_of(*current) : 0;
   }
   return n;
 }
@@ -45,16 +45,16 @@
     zone_ = std::move(order.text);
 }
 
-RequestOutcome ValidatedCall::judge(StateView& view) const {
+RequestOutcome ValidatedCall::evaluate(StateView& view) const {
   const auto drop_or_set = [&](std::string name, bool drop, std::string text) {
-    const configuration::VersionedItem* held = view.find(name);
-    if (held ? held->dropped == drop && held->text == text : drop) return taken;
-    view.put({std::move(name), held ? held->version + 1 : 1, drop, std::move(text), 0});
-    return taken;
+    const configuration::VersionedItem* current = view.find(name);
+    if (current ? current->dropped == drop && current->text == text : drop) return success;
+    view.put({std::move(name), current ? current->version + 1 : 1, drop, std::move(text), 0});
+    return success;
   };
   switch (is_) {
     case OperatorRequest::what::read:
-      return taken;
+      return success;
     case OperatorRequest::what::begin:
       return drop_or_set(std::string(configuration::evacuation_mark) + zone_, false, "{}");
     case OperatorRequest::what::finish:
@@ -64,7 +64,7 @@
       const auto [end, wrong] = std::from_chars(zone_.data(), zone_.data() + zone_.size(), n);
       if (wrong != std::errc() || end != zone_.data() + zone_.size() || n < 1 || n > 7)
         return {400, R"({"fault":"from 1 to 7 voters"})"};
-      return drop_or_set(std::string(size_name), false, std::to_string(n));
+      return drop_or_set(std::string(voter_count_name), false, std::to_string(n));
     }
     case OperatorRequest::what::adjust:
       break;
@@ -75,33 +75,34 @@
   std::vector<bool> changes;
   std::size_t bytes = 0;
   for (const configuration::VersionedItem& i : change_.items) {
-    const configuration::VersionedItem* held = after.find(i.name);
-    changes.push_back(!held || held->version < i.version);
-    if (held && held->version == i.version && !configuration::same_wording(*held, i))
+    const configuration::VersionedItem* current = after.find(i.name);
+    changes.push_back(!current || current->version < i.version);
+    if (current && current->version == i.version && !configuration::same_wording(*current, i))
       clashes.push_back({i.name.substr(i.name.find('/') + 1),
                          "version " + configuration::version_text(i.version) + " stands in another wording"});
     if (!changes.back()) continue;
-    if (size_of(i) > most_item) return {413, R"({"fault":"no item may have over 48,000 bytes"})"};
+    if (size_of(i) > max_item_bytes) return {413, R"({"fault":"no item may have over 48,000 bytes"})"};
     after.put(i), bytes += size_of(i);
   }
   // Of what changes nothing its services may have gone since: it was taken then, or overtaken.
   for (const configuration::ServiceReference& n : change_.needs) {
     if (!changes[n.item]) continue;
-    const configuration::VersionedItem* held = after.find(n.service);
-    if (!held || held->dropped)
+    const configuration::VersionedItem* current = after.find(n.service);
+    if (!current || current->dropped)
       faults.push_back(
           {n.pointer, "target: nobody knows the service " + n.service.substr(n.service.find('/') + 1)});
   }
   if (!faults.empty()) return {400, configuration::faults_as_json(faults)};
   if (!clashes.empty()) return {409, configuration::faults_as_json(clashes)};
-  if (bytes > most_change) return {413, R"({"fault":"one call brings at most 4,000,000 bytes of items"})"};
+  if (bytes > max_change_bytes)
+    return {413, R"({"fault":"one call brings at most 4,000,000 bytes of items"})"};
   if (bytes > 0 &&
       (after.standing() > configuration::ConfigurationStore::most_items ||
        after.bytes() > configuration::ConfigurationStore::most_bytes) &&
       (after.standing() > view.standing() || after.bytes() > view.bytes()))
     return {507, R"({"fault":"no room: at most 20,000 items and 24,000,000 bytes stand"})"};
   view = std::move(after);
-  return taken;
+  return success;
 }
 
 }  // namespace robinpin::control_plane
--- a/src/control_plane/request_validation.h
+++ b/src/control_plane/request_validation.h
@@ -1,5 +1,5 @@
-// What an operator's call comes to, held against a state: what it changes, or the answer that it gets. Free
-// of I/O.
+// Validation of operators' requests against the control state: the changes that a request makes, or the error
+// that it is answered with. Does no I/O.
 #pragma once
 
 #include <functional>
@@ -12,46 +12,49 @@
 
 namespace robinpin::control_plane {
 
+// The answer to an operator: an HTTP status and a JSON body.
 struct RequestOutcome {
   int status = 503;
   std::string body;
 };
 
+// A request of an operator: read or change the configuration, begin or finish the evacuation of a zone, or
+// set the number of voters.
 struct OperatorRequest {
   enum class what { read, adjust, begin, finish, size };
   what is = what::read;
   std::string text;  // a configuration, a zone, or how many voters
 };
 
-// A state with changes on top of it that are not settled yet.
+// A committed state with uncommitted changes on top of it.
 class StateView {
  public:
-  explicit StateView(const configuration::ConfigurationStore& stands) : stands_(&stands) {}
+  explicit StateView(const configuration::ConfigurationStore& committed) : committed_(&committed) {}
   const configuration::VersionedItem* find(std::string_view name) const {
-    const auto it = above_.find(name);
-    return it == above_.end() ? stands_->find(name) : &it->second;
+    const auto it = changes_.find(name);
+    return it == changes_.end() ? committed_->find(name) : &it->second;
   }
-  void put(const configuration::VersionedItem& item) { above_[item.name] = item; }
+  void put(const configuration::VersionedItem& item) { changes_[item.name] = item; }
   // In the order of their names; each once.
   std::vector<configuration::VersionedItem> changes() const;
   std::size_t standing() const;
   std::size_t bytes() const;
 
  private:
-  const configuration::ConfigurationStore* stands_;
-  std::map<std::string, configuration::VersionedItem, std::less<>> above_;
+  const configuration::ConfigurationStore* committed_;
+  std::map<std::string, configuration::VersionedItem, std::less<>> changes_;
 };
 
-constexpr std::string_view size_name = "k/voters";
-constexpr std::size_t most_change = 4'000'000;  // bytes of one call's items
-constexpr std::size_t most_item = 48'000;       // bytes of one: nodes are told of it in one datagram
+constexpr std::string_view voter_count_name = "k/voters";
+constexpr std::size_t max_change_bytes = 4'000'000;  // bytes of one call's items
+constexpr std::size_t max_item_bytes = 48'000;       // bytes of one: nodes are told of it in one datagram
 
-// Read once; judged as often as the state moves under it.
+// A request that is parsed once, and evaluated again whenever the state has changed.
 class ValidatedCall {
  public:
   explicit ValidatedCall(OperatorRequest order);
-  // Puts what it changes on top of `view`; all of it or, where the answer is no 200, nothing.
-  RequestOutcome judge(StateView& view) const;
+  // Adds all its changes to `view`; none where the returned status is not 200.
+  RequestOutcome evaluate(StateView& view) const;
   bool reads() const { return is_ == OperatorRequest::what::read; }
 
  private:
--- a/tests/mesh/control_plane_test.cpp
+++ b/tests/mesh/control_plane_test.cpp
@@ -31,7 +31,7 @@
 struct Late : Fleet {
   Late(Machine whose, std::uint32_t seed) : Fleet(0, 3, seed), of(whose) {}
   void on_datagram(Machine m, Machine from, std::string_view bytes) override {
-    if (from == of && bytes[0] == char(control_plane::kind::beat) && keeps) beats[m] = bytes;
+    if (from == of && bytes[0] == char(control_plane::MessageType::heartbeat) && keeps) beats[m] = bytes;
     Fleet::on_datagram(m, from, bytes);
   }
   void again() {
@@ -121,14 +121,14 @@
   f.start(
       core(0));  // with it the one that has nothing: two of three answer, and neither knows what core 1 holds
   f.run(3 * second);
-  CHECK_FALSE(f.nodes.at(core(0)).keep->fresh(f.net.now));
-  CHECK_FALSE(f.nodes.at(core(0)).keep->votes());
+  CHECK_FALSE(f.nodes.at(core(0)).keep->is_current(f.net.now));
+  CHECK_FALSE(f.nodes.at(core(0)).keep->is_voter());
   CHECK_EQUAL(503, f.settled(core(2), What::read));
   CHECK_EQUAL(503, f.settled(core(0), What::adjust, first_call("00000008")));
   f.start(core(1));
   f.run(3 * second);
-  CHECK(f.nodes.at(core(0)).keep->fresh(f.net.now));
-  CHECK(f.nodes.at(core(0)).keep->votes());  // in the seat of the disk that was lost
+  CHECK(f.nodes.at(core(0)).keep->is_current(f.net.now));
+  CHECK(f.nodes.at(core(0)).keep->is_voter());  // in the seat of the disk that was lost
   CHECK(says(f, core(2), "\"r2\""));
 }
 
@@ -259,11 +259,11 @@
   f.run(second);
   const auto& voter = *f.nodes.at(core(0)).keep;
   const std::string store = voter.store();
-  const std::uint64_t next = voter.number() + 1;
+  const std::uint64_t next = voter.committed_number() + 1;
   std::vector<consensus::Reply> replies;
   transport::SimulatedTransport proposer(f.net, 77);
   proposer.set_handler([&](Machine, std::string_view bytes) {
-    if (const auto a = control_plane::read_whole<control_plane::ConsensusReply>(bytes))
+    if (const auto a = control_plane::decode<control_plane::ConsensusReply>(bytes))
       replies.push_back(a->reply);
   });
   const auto asked = [&](consensus::phase what, std::uint64_t round, const std::string& text = {},
@@ -277,7 +277,7 @@
              f.nodes.at(core(0)).keep->voters(),
              {}};
     replies.clear();
-    proposer.send(core(0), control_plane::written(control_plane::kind::ask, a));
+    proposer.send(core(0), control_plane::encode(control_plane::MessageType::consensus_request, a));
     f.run(20'000);
     CHECK_EQUAL(1, replies.size());
     return replies.front();
@@ -287,9 +287,9 @@
     f.nodes.at(core(0)).disk->lose_power();
     f.start(core(0));
     f.run(second);
-    CHECK(f.nodes.at(core(0)).keep->votes());
+    CHECK(f.nodes.at(core(0)).keep->is_voter());
   };
-  const std::string text = control_plane::packed({{"c/r0", 9, true, {}, 0}});
+  const std::string text = control_plane::encode_items({{"c/r0", 9, true, {}, 0}});
   CHECK(asked(consensus::phase::prepare, 1'000).how == consensus::verdict::yes);
   power_off();
   CHECK(asked(consensus::phase::accept, 999, text).how == consensus::verdict::lower);
@@ -320,7 +320,7 @@
   struct Asked : Fleet {
     using Fleet::Fleet;
     void on_datagram(Machine m, Machine from, std::string_view bytes) override {
-      asked += m != core(0) && from == core(0) && bytes[0] == char(control_plane::kind::beat);
+      asked += m != core(0) && from == core(0) && bytes[0] == char(control_plane::MessageType::heartbeat);
       Fleet::on_datagram(m, from, bytes);
     }
     int asked = 0;
@@ -337,10 +337,10 @@
     CHECK_EQUAL(200, f.settled(core(1), What::adjust, one_route("00000009", "two")));
     f.run(6 * second);
     f.thaw(core(0));
-    CHECK_FALSE(f.nodes.at(core(0)).keep->fresh(f.net.now));
+    CHECK_FALSE(f.nodes.at(core(0)).keep->is_current(f.net.now));
     f.join();
     f.run(2 * second);
-    CHECK(f.nodes.at(core(0)).keep->fresh(f.net.now));
+    CHECK(f.nodes.at(core(0)).keep->is_current(f.net.now));
   }
 }
 
@@ -404,7 +404,7 @@
     const auto& n = f.nodes.at(ambit(0));
     f.run(20 * second + std::int64_t(seed % 100) * 10'000);
     CHECK_FALSE(n.rumour->caught_up());
-    CHECK_FALSE(f.nodes.at(core(2)).keep->fresh(f.net.now));
+    CHECK_FALSE(f.nodes.at(core(2)).keep->is_current(f.net.now));
     f.join(), hears_stale();
     f.run(2 * second);  // it asks ever less often, and each 1.6 s at the least
     CHECK(n.rumour->caught_up());
@@ -448,7 +448,7 @@
     f.run(second);
     f.add(fresh, true, 9), f.start(fresh);
     f.run(4 * second);
-    CHECK(f.nodes.at(fresh).keep->votes());
+    CHECK(f.nodes.at(fresh).keep->is_voter());
     f.kill(next);
     f.run(second);
     for (const Machine m : {last, fresh})
@@ -474,7 +474,8 @@
   struct Deaf : Fleet {
     using Fleet::Fleet;
     void on_datagram(Machine m, Machine from, std::string_view bytes) override {
-      if (!(deaf && m == core(2) && from == core(1) && bytes[0] == char(control_plane::kind::beat)))
+      if (!(deaf && m == core(2) && from == core(1) &&
+            bytes[0] == char(control_plane::MessageType::heartbeat)))
         Fleet::on_datagram(m, from, bytes);
     }
     bool deaf = false;
@@ -486,7 +487,7 @@
     f.add(core(3), true, 3), f.start(core(3));
     f.cut(core(2), core(3));
     f.run(4 * second);
-    CHECK(f.nodes.at(core(3)).keep->votes());
+    CHECK(f.nodes.at(core(3)).keep->is_voter());
     for (const int there : {0, 3}) f.cut(core(1), core(there));
     for (auto it = f.net.blocked_links.begin(); it != f.net.blocked_links.end();)
       if (std::set<Machine>{it->first, it->second} == std::set<Machine>{core(1), core(2)})
@@ -514,16 +515,18 @@
     CHECK_EQUAL(200, f.settled(core(0), What::adjust, first_call("00000007")));
     const auto& leaver = *f.nodes.at(core(2)).keep;
     gossip::Outbox out;
-    f.nodes.at(core(2)).keep->leave(f.net.now, out);
-    CHECK_FALSE(leaver.may_go());
+    f.nodes.at(core(2)).keep->start_leaving(f.net.now, out);
+    CHECK_FALSE(leaver.may_stop());
     const auto& first = *f.nodes.at(core(0)).keep;
-    for (int i = 0; i < 4'000 && !(seed % 2 ? first.voters().changing() : leaver.may_go()); ++i) f.run(1'000);
-    if (leaver.may_go()) {
+    for (int i = 0; i < 4'000 && !(seed % 2 ? first.voters().changing() : leaver.may_stop()); ++i)
+      f.run(1'000);
+    if (leaver.may_stop()) {
       const auto& list = leaver.voters();
       CHECK_FALSE(list.seat(leaver.store()));
       std::set<std::string> hold;
       for (const int i : {0, 1, 3})
-        if (const auto& k = *f.nodes.at(core(i)).keep; k.number() == leaver.number()) hold.insert(k.store());
+        if (const auto& k = *f.nodes.at(core(i)).keep; k.committed_number() == leaver.committed_number())
+          hold.insert(k.store());
       CHECK(list.majority(hold));
     } else if (first.voters().changing()) {
       ++changing;
@@ -538,7 +541,7 @@
           CHECK_EQUAL(503, f.settled(core(at), What::adjust, one_route("00000008", "two")));
       f.join();
       f.run(3 * second);
-      CHECK(leaver.may_go());
+      CHECK(leaver.may_stop());
     }
     f.kill(core(2)), f.wipe(core(2));
     f.run(second);
@@ -559,8 +562,8 @@
   const std::string store = f.nodes.at(core(3)).keep->store();
   f.keeps = false;
   gossip::Outbox out;
-  f.nodes.at(core(3)).keep->leave(f.net.now, out);
-  CHECK(f.nodes.at(core(3)).keep->may_go());
+  f.nodes.at(core(3)).keep->start_leaving(f.net.now, out);
+  CHECK(f.nodes.at(core(3)).keep->may_stop());
   for (const auto& d : out) f.nodes.at(core(3)).span->send(d.to, d.bytes);
   f.run(10'000);
   f.kill(core(3)), f.wipe(core(3));
@@ -586,7 +589,7 @@
   f.again();
   f.run(second);
   const auto& peers = f.nodes.at(core(0)).keep->peers();
-  CHECK(f.net.now - peers.at(core(2)).heard < second);
+  CHECK(f.net.now - peers.at(core(2)).last_heard < second);
   f.kill(core(1));
   f.run(2 * second);
   CHECK_EQUAL(200, taken(f, core(0), What::adjust, one_route("00000009", "two")));
@@ -598,14 +601,14 @@
     Fleet f(0, 3, 700 + seed);
     CHECK_EQUAL(200, f.settled(core(0), What::adjust, first_call("00000007")));
     gossip::Outbox out;
-    f.nodes.at(core(1)).keep->leave(f.net.now, out);
+    f.nodes.at(core(1)).keep->start_leaving(f.net.now, out);
     f.kill(core(2)), f.wipe(core(2)), f.start(core(2));
     f.run(3 * second);
     for (int i = 0; i < 3; ++i) {
       std::set<std::string> addresses;
       for (const auto& seat : f.nodes.at(core(i)).keep->voters().now) addresses.insert(seat.address);
       CHECK_EQUAL(3, addresses.size());
-      CHECK(f.nodes.at(core(i)).keep->votes());
+      CHECK(f.nodes.at(core(i)).keep->is_voter());
     }
     f.kill(core(int(seed % 3)));
     f.run(second);
@@ -617,18 +620,18 @@
   const consensus::Voters voters{4, {{"1", "a", "1"}, {"2", "b", "2"}, {"3", "c", "3"}}, {}};
   const control_plane::Standby again{{"2", "x", "2"}}, other{{"4", "d", "4"}};
   CHECK_FALSE(
-      control_plane::next_seats(voters, {"a"}, {}, {again}, 3));  // nobody has said yet that b is gone
-  CHECK_FALSE(control_plane::next_seats(voters, {}, {}, {again}, 4));
-  const auto seats = control_plane::next_seats(voters, {"a"}, {}, {again, other}, 3);
+      control_plane::propose_voters(voters, {"a"}, {}, {again}, 3));  // nobody has said yet that b is gone
+  CHECK_FALSE(control_plane::propose_voters(voters, {}, {}, {again}, 4));
+  const auto seats = control_plane::propose_voters(voters, {"a"}, {}, {again, other}, 3);
   CHECK(seats && seats->front().store == "d" && seats->at(1).store == "b");
-  const auto own = control_plane::next_seats(voters, {"a", "b"}, {}, {again, other}, 3);
+  const auto own = control_plane::propose_voters(voters, {"a", "b"}, {}, {again, other}, 3);
   CHECK(own && own->front().store == "a" && own->at(1).store == "x");
   // Fewer: who is gone goes; else nobody while one that stays may be lost, as then the fewer may have no
   // majority.
-  const auto fewer = control_plane::next_seats(voters, {"b"}, {"c"}, {}, 2);
+  const auto fewer = control_plane::propose_voters(voters, {"b"}, {"c"}, {}, 2);
   CHECK(fewer && fewer->size() == 2 && fewer->at(1).store == "c");
-  CHECK_FALSE(control_plane::next_seats(voters, {}, {"a"}, {}, 2));
-  CHECK(control_plane::next_seats(voters, {}, {}, {}, 2)->at(1).store == "b");
+  CHECK_FALSE(control_plane::propose_voters(voters, {}, {"a"}, {}, 2));
+  CHECK(control_plane::propose_voters(voters, {}, {}, {}, 2)->at(1).store == "b");
 }
 
 TEST(ControlPlane, the_core_grows_to_four_and_five_and_back_to_three_and_bears_losses_at_each_size) {
@@ -670,8 +673,9 @@
     return R"({"apply":{"targets":{"axes":["label","probe","conn_limit","protocol","tls","warmup","warmup_per_s","revision"],"records":[["three","/)" +
            std::string(bytes, 'p') + R"(",130,"h1",false,"3s",21.0,")" + version + R"("]]}}})";
   };
-  CHECK_EQUAL(413, f.settled(core(0), What::adjust, service(control_plane::most_item, "00000008")));
-  CHECK_EQUAL(200, f.settled(core(0), What::adjust, service(control_plane::most_item - 400, "00000008")));
+  CHECK_EQUAL(413, f.settled(core(0), What::adjust, service(control_plane::max_item_bytes, "00000008")));
+  CHECK_EQUAL(200,
+              f.settled(core(0), What::adjust, service(control_plane::max_item_bytes - 400, "00000008")));
   f.run(2 * second);
   CHECK_EQUAL(7, f.with("t/three", 8));
 }
@@ -741,9 +745,11 @@
     CHECK_EQUAL(200, taken(f, core(0), What::adjust, first_call("00000008", 1'200)));
     f.net.loss_probability = f.net.duplication_probability = 0.1;
     f.start(core(2));
-    for (int i = 0; i < 300 && f.nodes.at(core(2)).keep->number() < f.nodes.at(core(0)).keep->number(); ++i)
+    for (int i = 0; i < 300 && f.nodes.at(core(2)).keep->committed_number() <
+                                   f.nodes.at(core(0)).keep->committed_number();
+         ++i)
       f.run(100'000);
-    CHECK_EQUAL(f.nodes.at(core(0)).keep->number(), f.nodes.at(core(2)).keep->number());
+    CHECK_EQUAL(f.nodes.at(core(0)).keep->committed_number(), f.nodes.at(core(2)).keep->committed_number());
     CHECK(f.nodes.at(core(0)).creed->items() == f.nodes.at(core(2)).creed->items());
   }
 }
--- a/tests/mesh/simulated_core.h
+++ b/tests/mesh/simulated_core.h
@@ -70,7 +70,7 @@
       std::vector<Machine> founders;
       for (const auto& [c, x] : nodes)
         if (x.core) founders.push_back(c);
-      const std::string why = trouble_of<void>([&] { return n.keep->begin(net.now, first, founders); });
+      const std::string why = trouble_of<void>([&] { return n.keep->start(net.now, first, founders); });
       if (!why.empty()) faults.push_back(why);
     }
     called(m, n, [&](gossip::Outbox& out) { n.rumour->state(net.now, n.record, out); });
@@ -102,7 +102,7 @@
       for (auto& [m, n] : nodes) {
         if (!n.up() || n.frozen) continue;
         const bool ticks = net.now >= n.ticked + 50'000;
-        if (ticks || (n.keep && n.keep->wake() <= net.now)) tick(m, n, ticks);
+        if (ticks || (n.keep && n.keep->next_deadline() <= net.now)) tick(m, n, ticks);
       }
     }
   }
@@ -114,7 +114,7 @@
     Node& n = nodes.at(m);
     if (!n.up()) return outcome;
     called(m, n, [&](gossip::Outbox& out) {
-      n.keep->order(
+      n.keep->submit(
           net.now, {what, text}, [outcome](control_plane::RequestOutcome o) { *outcome = std::move(o); },
           out);
     });
@@ -166,8 +166,8 @@
       return;
     }
     called(m, n, [&](gossip::Outbox& out) {
-      if (!control_plane::among_cores(bytes)) {
-        if (n.keep) n.rumour->whole(n.keep->fresh(net.now));
+      if (!control_plane::is_control_plane_message(bytes)) {
+        if (n.keep) n.rumour->whole(n.keep->is_current(net.now));
         n.rumour->on_datagram(net.now, from, bytes, out);
       } else if (n.keep) {
         n.keep->on_datagram(net.now, from, bytes, out);
--- a/tests/mesh/simulated_world.h
+++ b/tests/mesh/simulated_world.h
@@ -436,19 +436,19 @@
   if (is <= does::twice) {
     const std::string& b = std::get<2>(letter);
     const auto ballot = [](const consensus::Ballot& x) { return std::to_string(x.round) + "/" + x.proposer; };
-    if (!control_plane::among_cores(b))
+    if (!control_plane::is_control_plane_message(b))
       s += std::string(" ") + rumours[int(gossip::kind_of(b)) & 7];
     else
       s += std::string(" ") + kinds[(int(b[0]) - 16) % 6];
-    if (b[0] == char(control_plane::kind::ask))
-      if (const auto a = control_plane::read_whole<control_plane::ConsensusRequest>(b))
+    if (b[0] == char(control_plane::MessageType::consensus_request))
+      if (const auto a = control_plane::decode<control_plane::ConsensusRequest>(b))
         s += std::string(" ") + phases[int(a->ask.what)] + " " + a->ask.name + " " + ballot(a->ask.ballot) +
              " of " + std::to_string(a->ask.value.version);
-    if (b[0] == char(control_plane::kind::answer))
-      if (const auto a = control_plane::read_whole<control_plane::ConsensusReply>(b))
+    if (b[0] == char(control_plane::MessageType::consensus_reply))
+      if (const auto a = control_plane::decode<control_plane::ConsensusReply>(b))
         s += std::string(" ") + phases[int(a->reply.what)] + " " + ballot(a->reply.ballot) + " " +
              std::to_string(int(a->reply.how)) + " accepted " + std::to_string(a->reply.value.version) +
-             " holds " + std::to_string(a->holds.number);
+             " holds " + std::to_string(a->committed.number);
   }
   if (spared >= 0) s += ", dies, puts spared " + std::to_string(spared);
   return seed == 0 ? s : s + " #" + std::to_string(seed);
@@ -493,11 +493,11 @@
     for (auto& d : b->disks) {
       if (d->empty()) continue;
       std::vector<storage::KeyValueStore::Entry> pairs(d->lasts.begin(), d->lasts.end());
-      const auto k = boost::leaf::try_handle_all([&] { return control_plane::kept(pairs); },
+      const auto k = boost::leaf::try_handle_all([&] { return control_plane::parse_store(pairs); },
                                                  [] { return control_plane::StoreContents{}; });
       storage::KeyValueStore::WriteBatch batch;
       control_plane::StoreHeader own = *k.own;
-      own.floor = own.holds.number;
+      own.floor = own.committed.number;
       control_plane::put(batch, own);
       for (const VersionedItem& i : k.items)
         if (i.dropped) control_plane::drop(batch, i.name);
@@ -651,7 +651,7 @@
       const bool heals = std::exchange(heals_, true);
       run(1'200'000, 1, 0);
       heals_ = heals;
-      if (n.keep && n.keep->number() < top) fail("an older disk does not catch up");
+      if (n.keep && n.keep->committed_number() < top) fail("an older disk does not catch up");
       if (n.keep && n.keep->store() != store) truth_.lost.insert(store), truth_.lost.erase(n.keep->store());
       return true;
     }
@@ -670,7 +670,7 @@
     case does::leave:
       if (!awake || n.leaving) return false;
       --left_.leaves, n.leaving = true;
-      return act(s.who, -1, [&](gossip::Outbox& out) { n.keep->leave(n.now, out); }), true;
+      return act(s.who, -1, [&](gossip::Outbox& out) { n.keep->start_leaving(n.now, out); }), true;
     case does::cut:
       return !n.cut && (--left_.cuts, n.cut = true);
     case does::mend:
@@ -706,7 +706,7 @@
   n.store = std::make_unique<Store>(n.disk);
   n.keep = std::make_unique<control_plane::ReplicatedState>(machine(i), *n.creed, *n.rumour, *n.store,
                                                             mixed(n.incarnation, std::uint64_t(i)));
-  const std::string why = trouble_of<void>([&] { return n.keep->begin(n.now, first, seeds); });
+  const std::string why = trouble_of<void>([&] { return n.keep->start(n.now, first, seeds); });
   if (!why.empty()) return fail("core " + std::to_string(i) + " does not start: " + why);
   act(i, -1, [&](gossip::Outbox& out) { n.rumour->state(n.now, {}, out), n.keep->tick(n.now, out); });
 }
@@ -721,11 +721,11 @@
 
 inline std::string World::store_of(int i) const {
   const auto held = nodes_[i].disk->written();
-  const auto it = held.find(std::string(control_plane::own_name));
+  const auto it = held.find(std::string(control_plane::header_key));
   if (it == held.end()) return {};
   const auto k = boost::leaf::try_handle_all(
       [&] {
-        return control_plane::kept({{it->first, it->second}});
+        return control_plane::parse_store({{it->first, it->second}});
       },
       [] { return control_plane::StoreContents{}; });
   return k.own && k.own->machine == machine(i) ? k.own->store : std::string();  // else it is a copy
@@ -771,7 +771,8 @@
   if (!truth_.agreed() || !truth_.voters.majority(know)) return;
   std::erase_if(truth_.hurt, [&](int i) {
     const Node& n = nodes_[i];
-    return !n.there || (n.keep && !n.frozen && !n.cut && n.number == truth_.top() && n.keep->fresh(n.now));
+    return !n.there ||
+           (n.keep && !n.frozen && !n.cut && n.number == truth_.top() && n.keep->is_current(n.now));
   });
 }
 
@@ -800,8 +801,8 @@
 inline void World::post(int from, Machine to, std::string bytes) {
   const int at = int(to) - 100;
   if (at < 0 || at >= int(nodes_.size()) || (at != from && (nodes_[from].cut || nodes_[at].cut))) return;
-  if (!(heals_ && begun_) && !control_plane::among_cores(bytes) && !plot_.gossip) return;
-  if (!heals_ && bytes[0] == char(control_plane::kind::beat) && !plot_.beats) return;
+  if (!(heals_ && begun_) && !control_plane::is_control_plane_message(bytes) && !plot_.gossip) return;
+  if (!heals_ && bytes[0] == char(control_plane::MessageType::heartbeat) && !plot_.beats) return;
   if (all_ && at == from) return deliver({from, at, std::move(bytes)}, -1);
   ++net_[{from, at, std::move(bytes)}];
 }
@@ -812,10 +813,10 @@
   if (!n.keep) return;
   n.story = mixed(mixed(n.story, bytes), std::uint64_t(from));
   act(to, spared, [&, from = from, &bytes = bytes](gossip::Outbox& out) {
-    if (control_plane::among_cores(bytes))
+    if (control_plane::is_control_plane_message(bytes))
       n.keep->on_datagram(n.now, machine(from), bytes, out);
     else
-      n.rumour->whole(n.keep->fresh(n.now)), n.rumour->on_datagram(n.now, machine(from), bytes, out);
+      n.rumour->whole(n.keep->is_current(n.now)), n.rumour->on_datagram(n.now, machine(from), bytes, out);
   });
 }
 
@@ -827,7 +828,7 @@
   for (const Live& l : live_)
     if (l.core == i && l.status < 0 && nodes_[i].keep && n.now - l.began >= patience)
       fail("an order is left without an answer past its time");
-  if (n.keep && n.leaving && n.keep->may_go()) {
+  if (n.keep && n.leaving && n.keep->may_stop()) {
     // It ends, and where its seat is another's its disk goes with it.
     const bool seated = truth_.voters.seat(n.keep->store());
     kill(i);
@@ -853,7 +854,7 @@
       l.status = o.status, l.body = std::move(o.body), l.until = truth_.top();
       answered_.push_back(id);
     };
-    n.keep->order(n.now, c.order, done, out);
+    n.keep->submit(n.now, c.order, done, out);
   });
   return int(id);
 }
@@ -879,7 +880,7 @@
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       const Node& n = nodes_[i];
       if (!n.keep || n.frozen) continue;
-      const std::int64_t due = std::max(clock_, std::min(next[i], n.keep->wake() - n.ahead));
+      const std::int64_t due = std::max(clock_, std::min(next[i], n.keep->next_deadline() - n.ahead));
       if (due < at) at = due, who = i;
     }
     const bool letter = !coming.empty() && coming.begin()->first <= at;
@@ -918,15 +919,15 @@
   const auto key = [](const std::string& name, const consensus::Ballot& b) {
     return name + "/" + std::to_string(b.round) + "/" + b.proposer;
   };
-  if (bytes[0] == char(control_plane::kind::ask)) {
-    const auto a = control_plane::read_whole<control_plane::ConsensusRequest>(bytes);
+  if (bytes[0] == char(control_plane::MessageType::consensus_request)) {
+    const auto a = control_plane::decode<control_plane::ConsensusRequest>(bytes);
     if (!a || a->ask.what != consensus::phase::accept) return;
     auto& bid = truth_.bids[key(a->ask.name, a->ask.ballot)];
     if (bid.value.version > 0 && bid.value != a->ask.value) fail("two values under one ballot");
     bid.value = a->ask.value;
     if (bid.under.version == 0) bid.under = a->ask.voters;
-  } else if (bytes[0] == char(control_plane::kind::answer)) {
-    const auto a = control_plane::read_whole<control_plane::ConsensusReply>(bytes);
+  } else if (bytes[0] == char(control_plane::MessageType::consensus_reply)) {
+    const auto a = control_plane::decode<control_plane::ConsensusReply>(bytes);
     if (!a || a->reply.what != consensus::phase::accept || a->reply.how != consensus::verdict::yes) return;
     for (auto& [name, bid] : truth_.bids) {
       if (!name.ends_with(key("", a->reply.ballot)) || bid.value.version == 0) continue;
@@ -943,13 +944,14 @@
       const bool known = it != truth_.states.end() && it->second->items.contains(i.name) &&
                          it->second->items.at(i.name) == i;
       if (!known && i.at <= truth_.top() && i.at > 0 && it == truth_.states.end()) continue;
-      if (!known && !(nodes_[from].keep && nodes_[from].keep->number() >= i.at && i.at > truth_.top()))
+      if (!known &&
+          !(nodes_[from].keep && nodes_[from].keep->committed_number() >= i.at && i.at > truth_.top()))
         fail("handed to nodes, and not settled: " + i.name);
     }
   } else if (gossip::kind_of(bytes) == gossip::kind::digest) {
     const auto told = gossip::read<gossip::DigestMessage>(bytes);
     const Node& n = nodes_[from];
-    if (told && told->whole && n.keep && n.keep->number() < n.least)
+    if (told && told->whole && n.keep && n.keep->committed_number() < n.least)
       fail("core " + std::to_string(from) + " hands out as whole what is older than " +
            std::to_string(in_contact / 1000) + " ms");
   }
@@ -959,7 +961,7 @@
 inline void World::look(int i) {
   Node& n = nodes_[i];
   const std::string who = "core " + std::to_string(i);
-  const std::uint64_t number = n.keep->number();
+  const std::uint64_t number = n.keep->committed_number();
   if (number < n.number) fail(who + " went back within a incarnation");
   if (number != n.number && number > 0) n.number = number, settled(n);
   if (n.looked != n.creed->changes()) {
@@ -989,7 +991,7 @@
       truth_.voters = v;
     }
   }
-  if (n.keep->fresh(n.now) && n.number < n.least)
+  if (n.keep->is_current(n.now) && n.number < n.least)
     fail(who + " says that it is fresh, and is older than " + std::to_string(in_contact / 1000) + " ms");
 }
 
@@ -1093,7 +1095,7 @@
 
 inline bool World::agree() const {
   for (const Node& n : nodes_)
-    if (n.keep && (n.keep->number() != truth_.top() ||
+    if (n.keep && (n.keep->committed_number() != truth_.top() ||
                    (n.number > 0 && n.creed->items() != truth_.states.at(n.number)->items)))
       return false;
   return true;
@@ -1128,8 +1130,9 @@
   // Fewer machines than seats, or than were asked for: none can be given anew.
   std::size_t seats = std::max(truth_.voters.now.size(), truth_.voters.next.size());
   if (const State& s = *truth_.states.rbegin()->second;
-      s.items.contains(std::string(control_plane::size_name)))
-    seats = std::max<std::size_t>(seats, std::stoul(s.items.at(std::string(control_plane::size_name)).text));
+      s.items.contains(std::string(control_plane::voter_count_name)))
+    seats = std::max<std::size_t>(seats,
+                                  std::stoul(s.items.at(std::string(control_plane::voter_count_name)).text));
   if (std::size_t(std::count_if(nodes_.begin(), nodes_.end(), [](const Node& n) { return n.there; })) < seats)
     return;
   if (!until(15 * second, seed, [&] { return truth_.agreed() && agree(); }))
--- a/tests/mesh/stored_data_test.cpp
+++ b/tests/mesh/stored_data_test.cpp
@@ -220,12 +220,12 @@
         [&]() -> storage::result<bool> {
           BOOST_LEAF_AUTO(store, storage::open_leveldb_store(stores.store(machine["machine"].GetInt())));
           BOOST_LEAF_AUTO(pairs, store->read_all());
-          BOOST_LEAF_AUTO(kept, control_plane::kept(pairs));
+          BOOST_LEAF_AUTO(kept, control_plane::parse_store(pairs));
           CHECK(kept.own.has_value());
           STRCMP_EQUAL(machine["store"].GetString(), kept.own->store.c_str());
           STRCMP_EQUAL(machine["settings"]["ip"].GetString(),
                        transport::format_address(kept.own->machine).c_str());
-          LONGS_EQUAL(machine["number"].GetUint64(), kept.own->holds.number);
+          LONGS_EQUAL(machine["number"].GetUint64(), kept.own->committed.number);
           LONGS_EQUAL(machine["floor"].GetUint64(), kept.own->floor);
           LONGS_EQUAL(machine["epoch"].GetUint64(), kept.own->voters.version);
           CHECK(kept.own->counter > 0);
