--- a/bench/mesh_procs.py
+++ b/bench/mesh_procs.py
@@ -85,20 +85,20 @@
 
 async def measure(o, folder, started):
     cores = [f"127.{o.net}.0.{i + 1}" for i in range(o.cores)]
-    ambits = [f"127.{o.net}.{1 + i // 250}.{1 + i % 250}" for i in range(o.ambits)]
+    sidecars = [f"127.{o.net}.{1 + i // 250}.{1 + i % 250}" for i in range(o.sidecars)]
     pids, process = {}, {}
 
     def begin(i, ip, first):
         core = i < o.cores
-        role = "locus" if core else "ambit"
+        role = "control-plane" if core else "sidecar"
         path = f"{folder}/{role}-{ip}.json"
         pathlib.Path(path).write_text(json.dumps(settings(f"{role}-{i}", ip, f"zone-{i % 20}", cores[:3], core, folder) | {"first_start": first}))
         started.append(subprocess.Popen([f"{o.build}/robinpin", role, "--settings", path], stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL))
         process[ip], pids[ip] = started[-1], started[-1].pid
 
-    for i, ip in enumerate(cores + ambits):
+    for i, ip in enumerate(cores + sidecars):
         begin(i, ip, True)
-    playing = [asyncio.create_task(beats(ip, n)) for n, ip in enumerate(ambits)]
+    playing = [asyncio.create_task(beats(ip, n)) for n, ip in enumerate(sidecars)]
 
     answers = []
 
@@ -107,7 +107,7 @@
         return answers[-1] == 200
 
     async def all_ready():
-        answers = await asyncio.gather(*(call(ip, 18625, "GET", "/v1/readiness") for ip in ambits))
+        answers = await asyncio.gather(*(call(ip, 18625, "GET", "/v1/readiness") for ip in sidecars))
         return all(a[0] == 200 for a in answers)
 
     if not await until(taken, 30) or not await until(all_ready, 60):
@@ -118,16 +118,16 @@
 
     async def span(name, seconds, act):
         before, at = {ip: of(p) for ip, p in pids.items()}, time.monotonic()
-        said = {ip: json.loads((await call(ip, 18620, "GET", "/v1/status"))[1]) for ip in cores + ambits[:20]}
+        said = {ip: json.loads((await call(ip, 18620, "GET", "/v1/status"))[1]) for ip in cores + sidecars[:20]}
         await act(seconds)
         after, took = {ip: of(p) for ip, p in pids.items()}, time.monotonic() - at
-        says = {ip: json.loads((await call(ip, 18620, "GET", "/v1/status"))[1]) for ip in cores + ambits[:20]}
-        for role, who in (("locus", cores), ("ambit", ambits)):
+        says = {ip: json.loads((await call(ip, 18620, "GET", "/v1/status"))[1]) for ip in cores + sidecars[:20]}
+        for role, who in (("control-plane", cores), ("sidecar", sidecars)):
             cpu = [100 * (after[ip][0] - before[ip][0]) / took for ip in who]
             mb = [after[ip][1] for ip in who]
             sent = [(says[ip]["datagrams"] - said[ip]["datagrams"]) / took for ip in who if ip in said]
             size = [(says[ip]["datagram_bytes"] - said[ip]["datagram_bytes"]) / took for ip in who if ip in said]
-            print(f"{name:8s} {o.ambits:4d} ambits, {o.cores} loci, {o.items} items: {role}: processor mean {statistics.mean(cpu):.3f} %, most {max(cpu):.3f}; "
+            print(f"{name:8s} {o.sidecars:4d} sidecars, {o.cores} loci, {o.items} items: {role}: processor mean {statistics.mean(cpu):.3f} %, most {max(cpu):.3f}; "
                   f"memory mean {statistics.mean(mb):.1f} MB, most {max(mb):.1f}; sends a second {statistics.mean(sent):.1f} datagrams, {statistics.mean(size):.0f} bytes", flush=True)
 
     async def changes(seconds):
@@ -149,18 +149,18 @@
         took = time.monotonic() - began
         await asyncio.sleep(3)
         for i, ip in enumerate(cores):
-            stored = sum(f.stat().st_size for f in pathlib.Path(f"{folder}/locus-{i}").rglob("*") if f.is_file())
-            print(f"changes  {o.changes} in {took:.1f} s, {bad} calls sent again: locus {i}: {stored / 1e6:.1f} MB on disk, {of(pids[ip])[1]:.1f} MB of memory", flush=True)
+            stored = sum(f.stat().st_size for f in pathlib.Path(f"{folder}/control-plane-{i}").rglob("*") if f.is_file())
+            print(f"changes  {o.changes} in {took:.1f} s, {bad} calls sent again: control-plane {i}: {stored / 1e6:.1f} MB on disk, {of(pids[ip])[1]:.1f} MB of memory", flush=True)
     await span("rest", o.seconds, asyncio.sleep)
     await span("changes", o.seconds, changes)
-    # An ambit is killed and starts again; then a core, its disk emptied: until each says that it is ready.
-    for name, i, ip, port in (("restart", o.cores + o.ambits - 1, ambits[-1], 18625), ("empty", o.cores - 1, cores[-1], 18620)):
+    # A sidecar is killed and starts again; then a core, its disk emptied: until each says that it is ready.
+    for name, i, ip, port in (("restart", o.cores + o.sidecars - 1, sidecars[-1], 18625), ("empty", o.cores - 1, cores[-1], 18620)):
         took = []
         for _ in range(5):
             process[ip].kill()
             process[ip].wait()
             if name == "empty":
-                shutil.rmtree(f"{folder}/locus-{i}")
+                shutil.rmtree(f"{folder}/control-plane-{i}")
             began = time.monotonic()
             begin(i, ip, False)
 
@@ -169,7 +169,7 @@
 
             took.append(time.monotonic() - began if await until(ready, 60) else 99)
             await asyncio.sleep(2)
-        print(f"{name:8s} {o.ambits:4d} ambits, {o.cores} loci, {o.items} items: ready after {min(took):.2f} to {max(took):.2f} s, median {statistics.median(took):.2f}", flush=True)
+        print(f"{name:8s} {o.sidecars:4d} sidecars, {o.cores} loci, {o.items} items: ready after {min(took):.2f} to {max(took):.2f} s, median {statistics.median(took):.2f}", flush=True)
     for p in playing:
         p.cancel()
 
@@ -177,7 +177,7 @@
 def main():
     ask = argparse.ArgumentParser()
     ask.add_argument("build")
-    ask.add_argument("ambits", type=int)
+    ask.add_argument("sidecars", type=int)
     ask.add_argument("--cores", type=int, default=3)
     ask.add_argument("--items", type=int, default=1000)
     ask.add_argument("--seconds", type=int, default=20)
--- a/src/app/command.h
+++ b/src/app/command.h
@@ -1,11 +1,15 @@
-// The roles' command line.
+// Dispatch of the mesh's commands.
 #pragma once
 
 namespace robinpin::app {
 
-// Whether the words name a role of the mesh; others are the commands of before.
-bool is_role(int argc, char** argv);
-// Exit codes: 0 good, 1 a fault in the settings or the role can't start, 2 misused.
-int run(int argc, char** argv);
+// Whether the first argument names a command of the mesh: a role, an alias of one, or `store`. All other
+// commands are those of the load balancer (src/node/main.cpp).
+bool is_mesh_command(int argc, char** argv);
+
+// Runs the command that the first argument names; call only if is_mesh_command().
+// Returns the exit code: 0 success; 1 faulty settings, a role that cannot start, or a corrupted store; 2
+// misuse.
+int run_command(int argc, char** argv);
 
 }  // namespace robinpin::app
--- a/src/app/control_plane_process.cpp
+++ b/src/app/control_plane_process.cpp
@@ -61,7 +61,7 @@
     control_.listen(node::endpoint_of(settings.ports.at("control")));
     event_log_.append(
         EventType::role_started, now(),
-        fmt::format("role=locus node={} items={}", settings.node, configuration_.items().size()));
+        fmt::format("role=control-plane node={} items={}", settings.node, configuration_.items().size()));
     if (!aside_.empty()) event_log_.append(EventType::storage_quarantined, now(), aside_);
     event_log_.append(EventType::replica_stale, now());
     control_.run();
@@ -214,7 +214,7 @@
     rapidjson::StringBuffer buffer;
     rapidjson::Writer<rapidjson::StringBuffer> out(buffer);
     out.StartObject();
-    out.Key("role"), out.String("locus");
+    out.Key("role"), out.String("control-plane");
     out.Key("node"), out.String(settings.node.c_str());
     out.Key("zone"), out.String(settings.zone.c_str());
     out.Key("copy_whole"), out.Bool(replicated_state_.fresh(now()));
@@ -295,7 +295,7 @@
 
 }  // namespace
 
-int locus(const Start& start) {
+int run_control_plane(const Start& start) {
   std::signal(SIGPIPE, SIG_IGN);
   return run_role([&]() -> storage::result<int> {
     BOOST_LEAF_AUTO(settings, bootstrap::load_settings(start.settings, bootstrap::MachineKind::core));
--- a/src/app/mesh_process.h
+++ b/src/app/mesh_process.h
@@ -23,8 +23,8 @@
 };
 
 // Each runs until SIGTERM or SIGINT; the exit code.
-int ambit(const Start& start);
-int locus(const Start& start);
+int run_sidecar(const Start& start);
+int run_control_plane(const Start& start);
 
 class MeshProcess {
  public:
--- a/src/app/sidecar_process.cpp
+++ b/src/app/sidecar_process.cpp
@@ -54,7 +54,7 @@
     node::listen_at(outbound_, node::endpoint_of(settings.ports.at("outbound")), 1024);
     node::listen_at(inbound_, node::endpoint_of(settings.ports.at("inbound")), 1024);
     event_log_.append(EventType::role_started, now(),
-                      fmt::format("role=ambit node={} target={}", settings.node, settings.target));
+                      fmt::format("role=sidecar node={} target={}", settings.node, settings.target));
     control_.run();
     readiness_.run();
     asio::co_spawn(io_,
@@ -204,7 +204,7 @@
     rapidjson::Writer<rapidjson::StringBuffer> out(buffer);
     const auto put = [&](const char* key, std::uint64_t v) { out.Key(key), out.Uint64(v); };
     out.StartObject();
-    out.Key("role"), out.String("ambit");
+    out.Key("role"), out.String("sidecar");
     out.Key("node"), out.String(settings.node.c_str());
     out.Key("zone"), out.String(settings.zone.c_str());
     out.Key("ready"), out.Bool(is_ready_);
@@ -268,7 +268,7 @@
       });
 }
 
-int ambit(const Start& start) {
+int run_sidecar(const Start& start) {
   std::signal(SIGPIPE, SIG_IGN);
   return run_role([&]() -> storage::result<int> {
     BOOST_LEAF_AUTO(settings, bootstrap::load_settings(start.settings, bootstrap::MachineKind::server));
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -86,7 +86,7 @@
   for (int fd = 0; fd <= 2; ++fd)
     if (::fcntl(fd, F_GETFD) < 0) ::open("/dev/null", O_RDWR);
 
-  if (app::is_role(argc, argv)) return app::run(argc, argv);
+  if (app::is_mesh_command(argc, argv)) return app::run_command(argc, argv);
 
   CLI::App app{
       "robinpin, a load balancer for services that call services.\n"
@@ -96,7 +96,8 @@
       "Exit codes: 0 good; 1 a fault in a file, or the node can't start; 2 a command that is not known, or "
       "misused.\n"
       "Keys of the file: docs/configuration.md.\n"
-      "Roles of the mesh: `robinpin ambit --help`, `robinpin locus --help` (docs/operators/mesh.md).");
+      "Roles of the mesh: `robinpin sidecar --help`, `robinpin control-plane --help` "
+      "(docs/operators/mesh.md).");
 
   std::string file, terms, format = "text";
   config::Question txn;
--- a/tests/mesh/mesh_processes.h
+++ b/tests/mesh/mesh_processes.h
@@ -1,4 +1,4 @@
-// What stands beside a core of real processes (processes.h) in a whole mesh: `robinpin ambit` sidecars, each
+// What stands beside a core of real processes (processes.h) in a whole mesh: `robinpin sidecar` sidecars, each
 // with an application server that runs in the test itself, so that the test sees every request that arrives.
 #pragma once
 
@@ -99,15 +99,15 @@
       : loop_(loop),
         core_(core),
         ip_(core.ip(n)),
-        log_(fmt::format("{}/ambit-{}.log", core.folder().string(), n)),
-        file_(fmt::format("{}/ambit-{}.json", core.folder().string(), n)),
+        log_(fmt::format("{}/sidecar-{}.log", core.folder().string(), n)),
+        file_(fmt::format("{}/sidecar-{}.json", core.folder().string(), n)),
         daemon_(loop.io),
         server_(loop, std::move(service), at(4), at(0), arrived) {}
 
   void start() {
     write_settings();
     rehearse::Daemon::Start how;
-    how.command = {ROBINPIN_BINARY, "ambit", "--settings", file_};
+    how.command = {ROBINPIN_BINARY, "sidecar", "--settings", file_};
     how.log = log_;
     daemon_.start(how);
   }
@@ -142,7 +142,7 @@
       seeds.push_back(fmt::format("\"{}:{}\"", core_.ip(s), core_.control_port()));
     std::rotate(seeds.begin(), seeds.begin() + changes_ % std::ptrdiff_t(seeds.size()), seeds.end());
     std::ofstream(file_) << fmt::format(
-        R"({{"node":"ambit-{0}","machine_class":"auxiliary","ip":"{0}","ports":{{"control":"{1}","outbound":"{2}","readiness":"{3}","inbound":"{4}"}},)"
+        R"({{"node":"sidecar-{0}","machine_class":"auxiliary","ip":"{0}","ports":{{"control":"{1}","outbound":"{2}","readiness":"{3}","inbound":"{4}"}},)"
         R"("data_dir":null,"application":"{5}","target":"{6}","zone":"east","region":"home","zones":{{"east":"home"}},"inner_ports":[{7},{8}],)"
         R"("seed_nodes":[{9}],"first_start":true,"beat_period":"1500ms","tolerance":{{"machine_losses":1,"zones":1,"region_losses":0}},)"
         R"("saturation":{{"cpu_share":1.0,"memory_mb":256,"file_limit":1024}},"envelope":{{"drain":"2500ms","grace_period":"6s",)"
--- a/tests/mesh/processes.h
+++ b/tests/mesh/processes.h
@@ -1,7 +1,7 @@
-// A core of real `robinpin locus` processes on loopback, and what happens to machines: killed, stopped and
-// woken, a disk emptied or put back as it was, a core at a new address. Plays are coroutines on one loop, so
-// that many run at once. They wait for what has to come; a span of time is waited for only where the fault is
-// a span.
+// A core of real `robinpin control-plane` processes on loopback, and what happens to machines: killed,
+// stopped and woken, a disk emptied or put back as it was, a core at a new address. Plays are coroutines on
+// one loop, so that many run at once. They wait for what has to come; a span of time is waited for only where
+// the fault is a span.
 #pragma once
 
 #include <fmt/format.h>
@@ -57,7 +57,8 @@
 
 class Core {
  public:
-  static constexpr int most = 9;  // addresses
+  static constexpr int most = 9;                        // addresses
+  std::string control_plane_command = "control-plane";  // by which processes are started
   Core(Loop& loop, std::uint32_t seed) : loop_(loop), chance_(seed) {
     // In memory where that can be had: a sync that others hold up for seconds would be a fault that no play
     // means.
@@ -94,9 +95,9 @@
     std::filesystem::create_directories(disk(n));
     std::vector<std::string> addresses;
     for (const int s : seeds) addresses.push_back(fmt::format("\"{}:{}\"", ip(s), control_));
-    const std::string file = fmt::format("{}/locus-{}.json", folder_.string(), n);
+    const std::string file = fmt::format("{}/control-plane-{}.json", folder_.string(), n);
     std::ofstream(file) << fmt::format(
-        R"({{"node":"locus-{0}","machine_class":"core","serves":["supervisor"],"ip":"{1}","ports":{{"control":"{1}:{2}"}},"data_dir":"{3}",)"
+        R"({{"node":"control-plane-{0}","machine_class":"core","serves":["supervisor"],"ip":"{1}","ports":{{"control":"{1}:{2}"}},"data_dir":"{3}",)"
         R"("zone":"{4}","region":"home","zones":{{"east":"home","south":"home","west":"home"}},"inner_ports":[{5},{6}],"seed_nodes":[{7}],)"
         R"("first_start":{8},"counts_loss":true,"beat_period":"1500ms","tolerance":{{"machine_losses":1,"zones":1,"region_losses":0}},)"
         R"("saturation":{{"cpu_share":1.0,"memory_mb":256,"file_limit":1024,"disk_mb":256}},"envelope":{{"contact":"3000ms","ack":"5000ms",)"
@@ -109,8 +110,8 @@
         inner_, inner_ + 15, fmt::join(addresses, ","), first);
     if (!daemons_[n]) daemons_[n] = std::make_unique<rehearse::Daemon>(loop_.io);
     rehearse::Daemon::Start how;
-    how.command = {ROBINPIN_BINARY, "locus", "--settings", file};
-    how.log = fmt::format("{}/locus-{}.log", folder_.string(), n);
+    how.command = {ROBINPIN_BINARY, control_plane_command, "--settings", file};
+    how.log = fmt::format("{}/control-plane-{}.log", folder_.string(), n);
     daemons_[n]->start(how);
   }
   void start(int n) { start(n, seeds_); }
--- a/tests/mesh/rpc_test.cpp
+++ b/tests/mesh/rpc_test.cpp
@@ -106,7 +106,7 @@
     settings("{}");
     if ((child = ::fork()) != 0) return;
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
-    ::_exit(app::locus({folder + "/local.json"}));
+    ::_exit(app::run_control_plane({folder + "/local.json"}));
   }
   ~Core() {
     ::kill(child, SIGKILL);
--- a/tests/mesh/shutdown_test.cpp
+++ b/tests/mesh/shutdown_test.cpp
@@ -35,8 +35,8 @@
   Machines() : acceptor_(io_) {
     char name[] = "/tmp/robinpin-shutdown-XXXXXX";
     folder_ = ::mkdtemp(name);
-    core_ = start("core", "127.0.26.1", R"("first_start":true,)", app::locus);
-    node_ = start("node", "127.0.26.2", node_settings, app::ambit);
+    core_ = start("core", "127.0.26.1", R"("first_start":true,)", app::run_control_plane);
+    node_ = start("node", "127.0.26.2", node_settings, app::run_sidecar);
     const tcp::endpoint at(asio::ip::make_address("127.0.26.2"), 24'223);
     acceptor_.open(at.protocol());
     acceptor_.set_option(tcp::acceptor::reuse_address(true));
--- a/tests/mesh/stored_data_test.cpp
+++ b/tests/mesh/stored_data_test.cpp
@@ -172,7 +172,7 @@
     std::ofstream(file) << text_of(settings);
     rehearse::Daemon::Start how;
     const bool is_core = std::string_view(settings["machine_class"].GetString()) == "core";
-    how.command = {ROBINPIN_BINARY, is_core ? "locus" : "ambit", "--settings", file};
+    how.command = {ROBINPIN_BINARY, is_core ? "control-plane" : "sidecar", "--settings", file};
     how.log = (folder_ / (name + ".log")).string();
     daemons_.push_back(std::make_unique<rehearse::Daemon>(io_));
     daemons_.back()->start(how);
