--- a/src/control_plane/catch_up.cpp
+++ b/src/control_plane/catch_up.cpp
@@ -16,7 +16,7 @@
   if (highest_known_ <= committed_.number) catch_up_.reset();
   if (highest_known_ <= committed_.number || storage_failure_) return;
   if (!catch_up_) {
-    catch_up_.emplace();
+    catch_up_.emplace(CatchUp{});
     catch_up_->id = random_();
     catch_up_->cursor = {committed_.number + 1, {}};
   } else if (now < catch_up_->next_request) {
@@ -73,7 +73,8 @@
       FragmentAssembler::send(from, encode(MessageType::catch_up_response, response), out);
       if (response.burst_ends) return;
       response.after = response.upto;
-      response.items.clear(), bytes = 0;
+      response.items.clear();
+      bytes = 0;
     }
     bytes += gossip::size_of(*it->second);
     response.items.push_back(*it->second);
@@ -87,8 +88,8 @@
       message.after != catch_up_->cursor)
     return;
   CatchUp& c = *catch_up_;
-  // The other has lost what it had not synced; or let go of names that this copy may still hold, or has been
-  // sent.
+  // The source has lost changes that it had not synced; or it has dropped names for good that this copy may
+  // still hold, or has been sent.
   const bool lost_state = message.committed.number < c.minimum_number;
   const bool names_dropped =
       c.snapshot ? c.cursor.at > 0 && message.floor != c.floor : message.floor > committed_.number;
@@ -119,8 +120,11 @@
     std::vector<std::string> removed;
     for (const auto& [name, i] : configuration_.items())
       if (!received.contains(name)) removed.push_back(name);
-    for (const auto& name : removed) configuration_.erase(name), drop(batch, name);
-    configuration_.floor(0);  // until all is in
+    for (const auto& name : removed) {
+      configuration_.erase(name);
+      drop(batch, name);
+    }
+    configuration_.floor(0);  // until all items are in
   }
   std::vector<configuration::VersionedItem> changed;
   for (const auto& i : c.items)
--- a/src/control_plane/consensus_messages.cpp
+++ b/src/control_plane/consensus_messages.cpp
@@ -16,8 +16,8 @@
 
 }  // namespace
 
-// Up to where another's store was seen: a copy of it from before can't pass for it. In time: a majority would
-// have to lose it with the power, beside the disk that was put back.
+// Records how far another voter's store was seen, so that an older copy of it is recognised. Not synced: a
+// majority would have to lose the record by loss of power while that store is restored from a copy.
 void ReplicatedState::observe_counter(const std::string& store, std::uint64_t counter) {
   if (const auto change = voter_->saw(store, counter))
     persist(*change, storage::KeyValueStore::Durability::unsynced);
@@ -27,7 +27,7 @@
                                            Outbox& out) {
   observe_counter(a.store, a.counter);
   learn_committed(now, a.committed, out);
-  // An ask that comes again is answered as it was: a promise is given once.
+  // A repeated request gets the same reply: a promise is given once.
   const auto& ask = a.ask;
   std::string key = std::to_string(from) + " " + ask.ballot.proposer + " " +
                     std::to_string(ask.ballot.round) + " " + std::to_string(int(ask.what)) + " " + ask.store;
@@ -36,8 +36,10 @@
   ConsensusReply answer;
   if (ask.what == phase::accept && ask.name == state_register && ask.store == store() &&
       ask.value.version > committed_.number + 1) {
-    // It lacks what this change is built on, and so could not hand its state on.
-    answer.reply.how = verdict::returning, answer.reply.what = ask.what, answer.reply.store = store(),
+    // This voter lacks the state before this change, and so could not pass the state on.
+    answer.reply.how = verdict::returning;
+    answer.reply.what = ask.what;
+    answer.reply.store = store();
     answer.reply.ballot = ask.ballot;
     highest_known_ = std::max(highest_known_, ask.value.version - 1);
     continue_catch_up(now, out);
@@ -45,7 +47,7 @@
     const auto epoch = voters().version;
     auto result = voter_->ask(ask);
     if (result.change && !persist(*result.change, storage::KeyValueStore::Durability::synced))
-      return;  // never answered before it lasts
+      return;  // no reply before the promise is durable
     if (voters().version != epoch) on_voters_changed(now);
     answer.reply = std::move(result.reply);
     if (a.knows_text && answer.reply.value.version == a.committed.number &&
@@ -55,7 +57,7 @@
   answer.committed = committed_;
   auto bytes = encode(MessageType::consensus_reply, answer);
   if (answer.reply.how == verdict::yes && ask.what == phase::prepare) {
-    // Who is at it is let finish: two that outbid each other get on more slowly than one after the other.
+    // Let the other proposer finish: proposers that outbid each other are slower than one after the other.
     if (from != self_ && !attempt_)
       next_proposal_ = std::max(
           next_proposal_, now + competitor_delay + std::int64_t(random_() % std::uint64_t(competitor_delay)));
@@ -70,7 +72,7 @@
   consensus::Reply& r = a.reply;
   if (r.how == verdict::not_me) return;
   observe_counter(r.store, r.counter);
-  if (r.value.version > 0 && r.value.text.empty()) {  // what this core knew as it asked
+  if (r.value.version > 0 && r.value.text.empty()) {  // left out, as this machine had it when it asked
     if (r.value.version != last_committed_.version || r.value.by != last_committed_.by) return;
     r.value.text = last_committed_.text;
   }
@@ -78,7 +80,7 @@
     if (!*attempt) continue;
     const auto asked = (*attempt)->unanswered.find(r.store);
     if (asked == (*attempt)->unanswered.end() || asked->second.to != from)
-      continue;  // a copy of a disk elsewhere is not the one asked
+      continue;  // a copy of the store at another address was not asked
     round_ = std::max(round_, r.promised.round);
     if ((*attempt)->matches(r.ballot) && (r.how == verdict::lower || r.how == verdict::stale))
       (*attempt)->rejected = true;
--- a/src/control_plane/peer_heartbeats.cpp
+++ b/src/control_plane/peer_heartbeats.cpp
@@ -17,7 +17,8 @@
 
 PeerHeartbeat ReplicatedState::make_heartbeat(std::int64_t now, Machine to) {
   PeerHeartbeat b;
-  b.incarnation = incarnation_, b.sequence = ++heartbeats_sent_;
+  b.incarnation = incarnation_;
+  b.sequence = ++heartbeats_sent_;
   b.store = store();
   b.counter = voter_->memory().counter;
   if (const auto it = peers_.find(to); it != peers_.end())
@@ -64,7 +65,7 @@
 }
 
 void ReplicatedState::on_heartbeat(std::int64_t now, Machine from, PeerHeartbeat b, Outbox& out) {
-  if (b.store == store()) return;  // a copy of this disk at another address: it finds out by itself
+  if (b.store == store()) return;  // a copy of this store at another address: it finds out by itself
   if (!peers_.contains(from) && peers_.size() >= max_peers) {
     const auto oldest = std::min_element(peers_.begin(), peers_.end(), [](const auto& x, const auto& y) {
       return x.second.last_heard < y.second.last_heard;
@@ -73,9 +74,9 @@
     peers_.erase(oldest);
   }
   Peer& p = peers_[from];
-  // Late or doubled: it would make a machine that has said that it leaves, or has a new disk, look as it was.
-  // Which of two lives is the present one is told by who answers what was asked just now: a late word may be
-  // the first that is heard of either.
+  // A late or duplicated heartbeat is ignored: it would undo that a machine leaves, or has a new store. Which
+  // of two incarnations is the present one shows in a reply to a recent heartbeat: a late one may be the
+  // first that arrives of either.
   const auto sent = std::find_if(sent_heartbeats_.begin(), sent_heartbeats_.end(),
                                  [&](const auto& x) { return b.answer && b.echo != 0 && x.first == b.echo; });
   if (const auto known =
@@ -89,8 +90,11 @@
   if (b.incarnation != p.heartbeat.incarnation && p.heartbeat.incarnation != 0)
     p.earlier_incarnations.push_back(p.heartbeat.incarnation);
   if (p.earlier_incarnations.size() > max_earlier_incarnations) p.earlier_incarnations.pop_front();
-  if (p.heartbeat.store != b.store)
-    p.last_contact = -1, p.highest_number = 0;  // another disk, or its first word
+  if (p.heartbeat.store != b.store) {
+    // Another store, or the first heartbeat.
+    p.last_contact = -1;
+    p.highest_number = 0;
+  }
   p.last_heard = now;
   if (const Seat* s = voters().seat(b.store); s && parse_address(s->address) == from)
     last_heard_[b.store] = now;
@@ -110,7 +114,8 @@
       p.votes = b.votes;
   } else {
     PeerHeartbeat reply = make_heartbeat(now, from);
-    reply.peer_store = b.store, reply.peer_counter = voter_->seen_of(b.store);
+    reply.peer_store = b.store;
+    reply.peer_counter = voter_->seen_of(b.store);
     reply.echo = b.echo;
     reply.answer = true;
     out.push_back({from, encode(MessageType::heartbeat, reply)});
--- a/src/control_plane/replicated_state.cpp
+++ b/src/control_plane/replicated_state.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-// Before a machine's disk has one of its own: all founders know each other's.
+// The store identity of a founder: known to all founders before any of them has started.
 std::string founder(Machine m) { return "founder-" + format_address(m); }
 
 }  // namespace
@@ -37,56 +37,66 @@
   seeds_ = seeds;
   BOOST_LEAF_AUTO(entries, storage_.read_all());
   BOOST_LEAF_AUTO(contents, parse_store(entries));
-  consensus::Memory memory;
-  bool is_known_store = false, changed = true;
-  storage::KeyValueStore::WriteBatch batch;
-  if (contents.own) {
-    for (const auto& i : contents.items) configuration_.take(i);
-    configuration_.floor(contents.own->floor);
-    committed_ = contents.own->committed;
-    memory.voters = contents.own->voters;
-    if (contents.own->machine == self_) {
-      memory.store = contents.own->store;
-      memory.counter = contents.own->counter;
-      memory.slots = std::move(contents.slots);
-      memory.seen.insert(contents.own->seen.begin(), contents.own->seen.end());
-      is_known_store = true, changed = false;
-      if (const auto it = memory.slots.find(std::string(state_register)); it != memory.slots.end())
-        if (const Value& v = it->second.value; v.version == committed_.number && v.by == committed_.by)
-          last_committed_ = v;
-    } else {  // copied or moved: what it holds was settled, but it is another copy
-      memory.store = hex(random_());
-      for (const auto& [name, slot] : contents.slots)
-        batch.removals.push_back(std::string(slot_prefix) + name);
-    }
-  } else if (const bool is_founder =
-                 first_start && std::find(seeds.begin(), seeds.end(), self_) != seeds.end();
-             is_founder) {
-    memory.store = founder(self_);
-    Voters v;
-    v.version = 1;
-    for (const Machine m : std::set<Machine>(seeds.begin(), seeds.end()))
-      v.now.push_back({format_address(m), founder(m), format_address(m)});
-    voter_.emplace(std::move(memory), false);
-    if (const auto change = voter_->found(v);
-        !change || !persist(*change, storage::KeyValueStore::Durability::synced))
-      return boost::leaf::new_error(*storage_failure_);
-    changed = false;
-  } else {
-    memory.store = hex(random_());
-  }
-  if (!voter_) voter_.emplace(std::move(memory), is_known_store);
+  const bool is_founder = first_start && std::find(seeds.begin(), seeds.end(), self_) != seeds.end();
+  bool written = false;
+  if (contents.own)
+    written = restore(std::move(contents));
+  else if (is_founder)
+    written = found_system(seeds);
+  else
+    written = create_store({}, {});
+  if (!written) return boost::leaf::new_error(*storage_failure_);
   highest_known_ = committed_.number;
-  if (changed) {
-    control_plane::put(batch, make_store_header());
-    if (!persist(std::move(batch), storage::KeyValueStore::Durability::synced))
-      return boost::leaf::new_error(*storage_failure_);
-  }
   on_voters_changed(now);
   gossip_.whole(false);
   return {};
 }
 
+bool ReplicatedState::restore(StoreContents contents) {
+  for (const auto& item : contents.items) configuration_.take(item);
+  configuration_.floor(contents.own->floor);
+  committed_ = contents.own->committed;
+  if (contents.own->machine == self_) {
+    consensus::Memory memory;
+    memory.voters = contents.own->voters;
+    memory.store = contents.own->store;
+    memory.counter = contents.own->counter;
+    memory.slots = std::move(contents.slots);
+    memory.seen.insert(contents.own->seen.begin(), contents.own->seen.end());
+    if (const auto it = memory.slots.find(std::string(state_register)); it != memory.slots.end()) {
+      const Value& value = it->second.value;
+      if (value.version == committed_.number && value.by == committed_.by) last_committed_ = value;
+    }
+    voter_.emplace(std::move(memory), true);
+    return true;
+  }
+  // A store that was copied or moved: its state was committed, but its promises are another voter's.
+  storage::KeyValueStore::WriteBatch batch;
+  for (const auto& [name, slot] : contents.slots) batch.removals.push_back(std::string(slot_prefix) + name);
+  return create_store(contents.own->voters, std::move(batch));
+}
+
+bool ReplicatedState::found_system(const std::vector<Machine>& founders) {
+  consensus::Memory memory;
+  memory.store = founder(self_);
+  Voters first;
+  first.version = 1;
+  for (const Machine machine : std::set<Machine>(founders.begin(), founders.end()))
+    first.now.push_back({format_address(machine), founder(machine), format_address(machine)});
+  voter_.emplace(std::move(memory), false);
+  const auto change = voter_->found(first);
+  return change && persist(*change, storage::KeyValueStore::Durability::synced);
+}
+
+bool ReplicatedState::create_store(const Voters& known_voters, storage::KeyValueStore::WriteBatch batch) {
+  consensus::Memory memory;
+  memory.store = hex(random_());
+  memory.voters = known_voters;
+  voter_.emplace(std::move(memory), false);
+  control_plane::put(batch, make_store_header());
+  return persist(std::move(batch), storage::KeyValueStore::Durability::synced);
+}
+
 StoreHeader ReplicatedState::make_store_header() const {
   const consensus::Memory& m = voter_->memory();
   StoreHeader own{format_version, self_, m.store,    m.counter,
@@ -104,9 +114,13 @@
         BOOST_LEAF_CHECK(storage_.write(batch, how));
         return true;
       },
-      [&](const storage::Error& t) { return storage_failure_ = t, false; },
+      [&](const storage::Error& error) {
+        storage_failure_ = error;
+        return false;
+      },
       [&] {
-        return storage_failure_ = storage::Error{storage::Error::Step::sync, "trove", "unknown"}, false;
+        storage_failure_ = storage::Error{storage::Error::Step::sync, "trove", "unknown"};
+        return false;
       });
 }
 
@@ -135,7 +149,8 @@
   if (!cores.empty()) gossip_.cores({cores.begin(), cores.end()}, voters().version);
 }
 
-// Of an older or copied disk: what it holds was settled once, but it is no copy that others may count on.
+// For a store that turned out to be older than the one that the other voters know: its state was committed,
+// but its promises may be incomplete.
 void ReplicatedState::start_new_identity(std::string store) {
   storage::KeyValueStore::WriteBatch batch;
   for (const auto& [name, slot] : voter_->memory().slots)
@@ -191,17 +206,17 @@
 void ReplicatedState::tick(std::int64_t now, Outbox& out) {
   expire_requests(now);
   if (storage_failure_) return;
-  // Of one that has no seat any more nobody counts it: others settle without it, and it would ask for ever.
+  // Only a voter's accepted value counts: for another one it might never be decided.
   undecided_since_ = is_voter() && accepted_number() > committed_.number
                          ? (undecided_since_ > 0 ? undecided_since_ : now)
                          : 0;
-  // While the list changes whoever takes the seat has it already and stands by no more; and just after, who
-  // stands by has not yet said that it knows the list. The one that leaves counts until then.
+  // While the list changes, the successor is a voter already and no standby any more; just after a change,
+  // the standbys have not yet reported the new list. This machine keeps its vote until they have.
   can_hand_over_ =
       voters().changing() || now - voters_learnt_at_ <= heartbeat_period || !standbys(now).empty();
   if (now >= next_heartbeat_) {
-    // Somebody unheard is looked into at once: the sooner a seat is given away the sooner a further loss is
-    // borne.
+    // A voter that falls silent is checked more often: the sooner it is replaced, the sooner a further loss
+    // is tolerated.
     bool amiss = !is_current(now) || highest_known_ > committed_.number || voters().changing();
     for (const Seat& s : voters().now) {
       const auto it = last_heard_.find(s.store);
@@ -215,8 +230,8 @@
   for (auto* attempt : {&attempt_, &voter_change_}) {
     if (!*attempt || now < (*attempt)->next_resend) continue;
     if ((*attempt)->rejected) {
-      // A higher ballot or a later list is needed anyway: those who say nothing may be down, and aren't
-      // waited for.
+      // This attempt can't succeed any more: voters that have not replied may be down, and are not waited
+      // for.
       (*attempt)->rejected = false;
       const auto ballot = (*attempt)->ballot;
       const auto silent = (*attempt)->unanswered;
--- a/src/control_plane/replicated_state.h
+++ b/src/control_plane/replicated_state.h
@@ -150,6 +150,11 @@
     std::int64_t resend_delay = resend_interval;
   };
 
+  // Start from a store with records, as a founder, or with a new store identity. False: storage_failure_ is
+  // set.
+  bool restore(StoreContents contents);
+  bool found_system(const std::vector<Machine>& founders);
+  bool create_store(const consensus::Voters& known_voters, storage::KeyValueStore::WriteBatch batch);
   void expire_requests(std::int64_t now);
   void complete_request(std::deque<PendingRequest>::iterator at, RequestOutcome outcome);
   void process_requests(std::int64_t now, Outbox& out);
--- a/src/control_plane/request_processing.cpp
+++ b/src/control_plane/request_processing.cpp
@@ -35,8 +35,8 @@
   done(std::move(outcome));
 }
 
-// Before anything that has come is looked at: a process that stood still must not end an order by answers of
-// before.
+// Runs before any received message is handled: a process that was suspended must not complete a request by
+// replies from before.
 void ReplicatedState::expire_requests(std::int64_t now) {
   for (std::size_t i = 0; i < requests_.size();)
     if (storage_failure_)
@@ -49,7 +49,7 @@
       std::any_of(requests_.begin(), requests_.end(), [](const PendingRequest& w) { return w.in_attempt; });
   if (attempt_ && (storage_failure_ || now >= attempt_->started_at + request_timeout ||
                    (!any_request && undecided_since_ == 0))) {
-    attempt_.reset();  // what it has sent may come to stand: nobody was told either way
+    attempt_.reset();  // its value may still be committed: no caller was told either way
     for (PendingRequest& w : requests_) w.in_attempt = false;
   }
   if (voter_change_ && (storage_failure_ || now >= voter_change_->started_at + request_timeout))
@@ -132,15 +132,14 @@
       on_committed(now, outcome.value, out);
       send_heartbeats(now, out, true);
     }
-    // What they were judged on was current, and is followed by nothing but what this attempt itself has
-    // settled.
+    // The state that they were evaluated on was current, and only this attempt has changed it since.
     for (std::size_t i = 0; i < requests_.size();)
       if (requests_[i].in_attempt)
         complete_request(requests_.begin() + std::ptrdiff_t(i), requests_[i].outcome);
       else
         ++i;
   } else if (outcome.how == fate::chosen || outcome.how == fate::refused) {
-    on_committed(now, outcome.value, out);  // others came first: judged anew
+    on_committed(now, outcome.value, out);  // another change came first: evaluate again
   } else if (outcome.how == fate::full) {
     for (std::size_t i = 0; i < requests_.size();)
       if (requests_[i].in_attempt)
--- a/src/control_plane/voter_maintenance.cpp
+++ b/src/control_plane/voter_maintenance.cpp
@@ -26,14 +26,15 @@
       continue;
     }
     const auto it = peers_.find(m);
-    // A word from before the present list says nothing of who holds a seat in it.
+    // A heartbeat from before the present list says nothing about its voters.
     if (it != peers_.end() && now - it->second.last_heard < contact_lifetime &&
         it->second.heartbeat.voters.version >= voters().version &&
         (it->second.heartbeat.store != s.store || it->second.heartbeat.leaving)) {
       found.insert(s.store);
       continue;
     }
-    // Unheard by a majority of the voters, each for so long: a cut beside this one core empties no seat.
+    // Lost only when a majority of the voters has not heard it: a partition of this machine alone removes no
+    // voter.
     const auto is_silent = [&](std::int64_t age) { return age > timeouts_.voter_contact / 2; };
     const auto at = last_heard_.find(s.store);
     if (!is_silent(now - (at == last_heard_.end() ? started_at_ : at->second))) continue;
@@ -95,7 +96,7 @@
   next_voter_maintenance_ = now + random_delay();
   if (highest_known_ > committed_.number) return;
   if (voters().changing()) {
-    // Whoever began it may be gone: after a while any other goes on.
+    // The machine that began the change may be lost: after a while any other one continues it.
     if (changing_since_ == 0) changing_since_ = now;
     if (now - changing_since_ < 2 * voter_maintenance_period) return;
     succession_.emplace(voters(), std::vector<Seat>());
@@ -128,7 +129,7 @@
 void ReplicatedState::on_voter_change_ended(std::int64_t now, const consensus::Outcome& o, Outbox& out) {
   if (!succession_) return;
   if (o.how == fate::chosen && voter_change_job_.name == state_register) on_committed(now, o.value, out);
-  // Whoever brought a later list may have gone before it told anybody.
+  // The machine that committed a later list may be lost before it told anyone.
   if (voter_change_job_.name == consensus::voters_register &&
       (o.how == fate::refused || o.how == fate::chosen) && o.value.version > voters().version)
     if (const auto committed_voters = Voters::read(o.value.version, o.value.text)) {
