--- a/src/control_plane/replicated_state.cpp
+++ b/src/control_plane/replicated_state.cpp
@@ -111,7 +111,7 @@
   if (storage_failure_) return false;
   return boost::leaf::try_handle_all(
       [&]() -> storage::result<bool> {
-        BOOST_LEAF_CHECK(storage_.write(batch, how));
+        if (auto written = storage_.write(batch, how); !written) return written.error();
         return true;
       },
       [&](const storage::Error& error) {
--- a/src/control_plane/voter_maintenance.cpp
+++ b/src/control_plane/voter_maintenance.cpp
@@ -71,6 +71,7 @@
         p.heartbeat.committed.number + 2 >= committed_.number)
       found[m] = p.heartbeat.store;
   std::vector<Standby> all;
+  all.reserve(found.size());
   for (const auto& [m, s] : found) all.push_back({{format_address(m), s, format_address(m)}});
   return all;
 }
