--- a/src/gossip/gossip.h
+++ b/src/gossip/gossip.h
@@ -58,9 +58,6 @@
   // A node that begins holds enough once it has agreed with one core that says that it is whole, so has
   // proved contact with a majority; a member's word is not enough. What was caught up stays so.
   bool caught_up() const { return caught_up_; }
-  // Items that were news since this was last asked: none, as a core takes no items from rumours. Goes with
-  // the older core.
-  std::vector<configuration::VersionedItem> fresh() { return {}; }
 
  private:
   DigestMessage told(bool answer) const;
--- a/src/gossip/messages.h
+++ b/src/gossip/messages.h
@@ -54,7 +54,8 @@
   r.check(x.size);
 }
 
-enum class kind : std::uint8_t { news = 1, digest, fetch, fetched, store, stored, listing };
+// The first byte of a datagram. 3 to 6 were messages of earlier versions and are not used again.
+enum class kind : std::uint8_t { news = 1, digest = 2, listing = 7 };
 
 struct UpdateMessage {  // passed on to a few others
   std::vector<configuration::VersionedItem> items;
@@ -144,45 +145,6 @@
   }
 };
 
-struct Fetch {  // a core asks another what it holds beyond this
-  std::uint64_t id = 0;
-  std::uint32_t round = 0;  // pieces of answers to different ones don't make one answer
-  configuration::Digest items{};
-  template <typename A>
-  void serialize(A& a) {
-    a(id, round, items);
-  }
-};
-
-struct Fetched {  // piece `piece` of `pieces`
-  std::uint64_t id = 0;
-  std::uint32_t round = 0, piece = 0, pieces = 1;
-  bool whole = false;  // its sender counts as a copy
-  std::vector<Machine> cores;
-  std::vector<configuration::VersionedItem> items;
-  template <typename A>
-  void serialize(A& a) {
-    a(id, round, piece, pieces, whole, cores, items);
-  }
-};
-
-struct Store {  // to be synced and then answered
-  std::uint64_t id = 0;
-  std::vector<configuration::VersionedItem> items;
-  template <typename A>
-  void serialize(A& a) {
-    a(id, items);
-  }
-};
-
-struct Stored {
-  std::uint64_t id = 0;
-  template <typename A>
-  void serialize(A& a) {
-    a(id);
-  }
-};
-
 // What is sent: news of 8 records, or of items up to 1.2 KB, of bulk 12 KB, or of one longer item (one that
 // alone is beyond what is taken never arrives: orders have to bound it); digests of 0.3 KB, 4 bytes a core
 // and at most 6 KB of leases; listings of at most 41 KB, two at once.
