--- a/src/app/sidecar_process.cpp
+++ b/src/app/sidecar_process.cpp
@@ -76,10 +76,10 @@
     admission::Server s;
     s.id = b.id, s.service = b.target, s.address = b.address, s.draining = b.draining, s.slots = b.capacity,
     s.sequence = b.sequence;
-    admission::AdmissionController& door = inbound_proxy_.door();
+    admission::AdmissionController& door = inbound_proxy_.admission();
     const std::string before = door.has_server() ? door.server().id : "";
     const bool drained = door.has_server() && door.server().draining;
-    if (!door.beat(now(), s, b.warmup_left)) return {};
+    if (!door.on_heartbeat(now(), s, b.warmup_left)) return {};
     if (before != b.id)
       event_log_.append(EventType::server_up, now(),
                         fmt::format("id={} service={} cold_ms={}", b.id, b.target, b.warmup_left / 1000));
@@ -91,7 +91,7 @@
   }
 
   rpc::Done left(const rpc::Departure& d) {
-    inbound_proxy_.door().departed(d.id);
+    inbound_proxy_.admission().on_departure(d.id);
     event_log_.append(EventType::server_down, now(), fmt::format("id={} how=departed", d.id));
     publish();
     return {};
@@ -101,12 +101,12 @@
   void publish() {
     gossip::MemberRecord r;
     r.leaving = ending_;
-    const admission::AdmissionController& door = inbound_proxy_.door();
+    const admission::AdmissionController& door = inbound_proxy_.admission();
     if (door.has_server() && !silent_) {
       const admission::Server& s = door.server();
       r.server = s.id, r.service = s.service, r.address = s.address, r.draining = s.draining,
       r.slots = s.slots;
-      r.cold_ms = std::uint32_t(std::max<std::int64_t>(0, s.cold_until - now()) / 1000);
+      r.cold_ms = std::uint32_t(std::max<std::int64_t>(0, s.warming_up_until - now()) / 1000);
     }
     gossip::Outbox out;
     gossip_.state(now(), r, out);
@@ -136,7 +136,8 @@
         event_log_.append(emptied ? EventType::zone_evacuated : EventType::zone_restored, now(),
                           settings.zone);
         // Its servers may have turned cold meanwhile: until the next beat tells it is taken to be.
-        if (!emptied) inbound_proxy_.door().doubt_until(now() + settings.heartbeat_period + 500'000);
+        if (!emptied)
+          inbound_proxy_.admission().assume_warmup_until(now() + settings.heartbeat_period + 500'000);
       }
     }
     outbound_proxy_.servers(gossip_.members(), now());
@@ -160,13 +161,13 @@
   void ticked(bool leapt) override {
     // Its server went on while this process stood still, and may have turned cold: taken to be until it says
     // so.
-    if (leapt) inbound_proxy_.door().doubt_until(now() + settings.heartbeat_period + 500'000);
+    if (leapt) inbound_proxy_.admission().assume_warmup_until(now() + settings.heartbeat_period + 500'000);
     gossip::Outbox out;
     gossip_.tick(now(), out);
     send(out);
-    const admission::AdmissionController& door = inbound_proxy_.door();
+    const admission::AdmissionController& door = inbound_proxy_.admission();
     const bool silent =
-        door.has_server() && now() - door.server().heard > beats_missed * settings.heartbeat_period;
+        door.has_server() && now() - door.server().last_heartbeat > beats_missed * settings.heartbeat_period;
     if (silent != silent_) {
       silent_ = silent;
       if (silent)
--- a/src/sidecar/inbound_proxy.cpp
+++ b/src/sidecar/inbound_proxy.cpp
@@ -40,51 +40,53 @@
         if (auto& d = shortest_[s.service]; d == 0 || c->deadline < d) d = c->deadline;
 }
 
-admission::AdmissionController::Bounds InboundProxy::bounds() const {
-  admission::AdmissionController::Bounds b;
+admission::AdmissionController::Limits InboundProxy::bounds() const {
+  admission::AdmissionController::Limits b;
   b.known = ready_;
-  b.link = settings_.link_mbps * 1e6 / 8;
+  b.link_bytes_per_s = settings_.link_mbps * 1e6 / 8;
   if (const auto s = plan_->services.find(admission_.server().service); s != plan_->services.end()) {
     b.warmup_per_s = s->second.warmup_per_s;
-    b.most_cold = b.warmup_per_s * settings_.warmup_overshoot + settings_.warmup_slack;
+    b.max_during_warmup = b.warmup_per_s * settings_.warmup_overshoot + settings_.warmup_slack;
     b.conn_limit = s->second.conn_limit;
   }
   if (const auto d = shortest_.find(admission_.server().service); d != shortest_.end())
-    b.shortest = d->second;
-  b.emptied = plan_->emptied.contains(settings_.zone);
+    b.shortest_deadline = d->second;
+  b.zone_evacuated = plan_->emptied.contains(settings_.zone);
   return b;
 }
 
 awaitable<Result> InboundProxy::take(std::shared_ptr<InFlightRequest> in_flight,
                                      std::shared_ptr<const OutgoingRequest> request, std::string instance,
-                                     admission::AdmissionController::Asked asked, steady::time_point until) {
+                                     admission::AdmissionController::RequestInfo asked,
+                                     steady::time_point until) {
   Result r;
-  const admission::held why = verdict(instance, asked);
-  if (why != admission::held::none) {
+  const admission::RejectReason why = verdict(instance, asked);
+  if (why != admission::RejectReason::none) {
     r.how = outcome::held;
-    r.why = admission::names[std::size_t(why)];
+    r.why = admission::reject_reason_names[std::size_t(why)];
     co_return r;
   }
   if (last_instance_ != admission_.server().id) upstream_.renew(), last_instance_ = admission_.server().id;
-  const int beside = admission_.at_work();
+  const int beside = admission_.in_progress();
   const bool comes = request->source != nullptr;
-  admission_.sent(comes);
+  admission_.on_admitted(comes);
   // Of its bytes those that have come, and at its end the others, are counted no more.
-  const auto to_come = std::make_shared<double>(asked.bytes);
+  const auto to_come = std::make_shared<double>(asked.body_bytes);
   const auto came = [this, to_come](double bytes) {
     bytes = std::min(bytes, *to_come);
-    admission_.comes(-bytes), *to_come -= bytes;
+    admission_.add_expected_bytes(-bytes), *to_come -= bytes;
   };
-  if (comes) admission_.comes(*to_come), request->source->moved = came;
-  in_flight->wrote = [this, comes] { admission_.wrote(now(), comes); };
+  if (comes) admission_.add_expected_bytes(*to_come), request->source->moved = came;
+  in_flight->wrote = [this, comes] { admission_.on_written(now(), comes); };
   r.fate = co_await upstream_.carry(in_flight, request, until);
   in_flight->wrote = nullptr;
   if (comes) request->source->moved = nullptr, came(*to_come);
   UpstreamResult& f = r.fate;
   const bool wrote = f.how_far >= came::written && !f.early;
-  if (wrote) admission_.ended(now(), beside, f.how_far == came::answered && f.status < 300 ? f.served : 0);
+  if (wrote)
+    admission_.on_finished(now(), beside, f.how_far == came::answered && f.status < 300 ? f.served : 0);
   const bool begun = comes && request->source->let_go;  // its head and a part of its body went out
-  if (!wrote) admission_.never_wrote(now(), comes, begun);
+  if (!wrote) admission_.on_aborted(now(), comes, begun);
   if (f.how_far < came::written && begun) {
     // An arrival, and known not to have run: the server has no whole request.
     r.how = outcome::refused;
@@ -124,7 +126,7 @@
       co_await upstream_.carry(std::make_shared<InFlightRequest>(), request, steady::now() + limit);
   if (const auto cold = f.header("X-Warmup-Ms");
       !cold.empty() && f.header("X-Answering-Instance") == admission_.server().id)
-    if (const auto ms = codec::whole_number(cold); ms >= 0) admission_.cold_for(now(), ms * 1000);
+    if (const auto ms = codec::whole_number(cold); ms >= 0) admission_.set_warmup_left(now(), ms * 1000);
   co_return f;
 }
 
--- a/src/sidecar/inbound_proxy.h
+++ b/src/sidecar/inbound_proxy.h
@@ -45,22 +45,23 @@
   // `instance`: the server that the caller means. Until `until` at the latest.
   awaitable<Result> take(std::shared_ptr<InFlightRequest> in_flight,
                          std::shared_ptr<const OutgoingRequest> request, std::string instance,
-                         admission::AdmissionController::Asked asked, steady::time_point until);
+                         admission::AdmissionController::RequestInfo asked, steady::time_point until);
   // Whether the gate would let it pass now: asked before a long body is sent.
-  admission::held verdict(const std::string& instance, const admission::AdmissionController::Asked& asked) {
-    return admission_.verdict(now(), instance, bounds(), asked);
+  admission::RejectReason verdict(const std::string& instance,
+                                  const admission::AdmissionController::RequestInfo& asked) {
+    return admission_.check(now(), instance, bounds(), asked);
   }
   // Asks the server how it is, on the path of its service. Nothing where it can't be asked.
   awaitable<std::optional<UpstreamResult>> probe(std::string instance, steady::duration limit);
 
-  admission::AdmissionController& door() { return admission_; }
+  admission::AdmissionController& admission() { return admission_; }
   void plan(std::shared_ptr<const configuration::RouteTable> plan);
   void ready(bool is) { ready_ = is; }  // caught up: before that nothing passes
   void sweep() { upstream_.sweep(); }
   std::int64_t now() const;
 
  private:
-  admission::AdmissionController::Bounds bounds() const;
+  admission::AdmissionController::Limits bounds() const;
   const bootstrap::Settings& settings_;
   UpstreamPool upstream_;
   admission::AdmissionController admission_;
--- a/src/sidecar/outbound_proxy.h
+++ b/src/sidecar/outbound_proxy.h
@@ -79,10 +79,10 @@
   awaitable<void> post(client_request t, node::Order order);
   awaitable<Result> forward(std::shared_ptr<InFlightRequest> in_flight,
                             std::shared_ptr<const OutgoingRequest> request, std::string server,
-                            admission::AdmissionController::Asked asked, steady::time_point until);
+                            admission::AdmissionController::RequestInfo asked, steady::time_point until);
   // Reads another node's request; before a long body the gate is asked, and what it holds back is not sent at
   // all. A body of more than `Source::handed` is left to be read on.
-  awaitable<codec::reading> read_inner(Connection& c, asio::error_code& error, admission::held& held);
+  awaitable<codec::reading> read_inner(Connection& c, asio::error_code& error, admission::RejectReason& held);
   awaitable<void> probe(node::Desk* desk, std::string server);
   Answer own(int status, std::string_view fault, micros come_back = 0);
   static Answer passed_on(const UpstreamResult& f);
--- a/src/sidecar/peer_connections.cpp
+++ b/src/sidecar/peer_connections.cpp
@@ -16,7 +16,7 @@
 using namespace std::chrono_literals;
 constexpr std::chrono::seconds body_limit{10};
 
-admission::AdmissionController::Asked asked_by(const codec::Message& m) {
+admission::AdmissionController::RequestInfo asked_by(const codec::Message& m) {
   const auto told = [&](std::string_view name) {
     return std::max<long long>(0, codec::whole_number(m.header(name))) * 1000;
   };
@@ -28,14 +28,14 @@
 }  // namespace
 
 awaitable<codec::reading> OutboundProxy::read_inner(Connection& c, asio::error_code& error,
-                                                    admission::held& held) {
+                                                    admission::RejectReason& held) {
   std::uint64_t counted = 0;
   for (codec::reading got = codec::reading::unfinished;;) {
     got = co_await c.more(error);
     if (error || got != codec::reading::unfinished) co_return got;
     if (c.in.wants_word()) {
       held = inbound_proxy_.verdict(std::string(c.in.header(instance_header)), asked_by(c.in));
-      if (held != admission::held::none) co_return codec::reading::unfinished;
+      if (held != admission::RejectReason::none) co_return codec::reading::unfinished;
       std::size_t written = 0;
       error = co_await c.write(go_on, {}, written);
       if (error) co_return codec::reading::unfinished;
@@ -50,17 +50,17 @@
   for (;;) {
     c->limit(steady::now() + 60s);
     asio::error_code error;
-    admission::held early = admission::held::none;
+    admission::RejectReason early = admission::RejectReason::none;
     const codec::reading got =
         c->in.whole() ? codec::reading::complete : co_await read_inner(*c, error, early);
     if (error) co_return;
-    if (early != admission::held::none) {
+    if (early != admission::RejectReason::none) {
       std::size_t written = 0;
-      co_await c->write(
-          fmt::format("HTTP/1.1 503 Held\r\n{}: {}\r\nX-Attempt-Id: {}\r\nConnection: "
-                      "close\r\nContent-Length: 0\r\n\r\n",
-                      held_header, admission::names[std::size_t(early)], c->in.header("X-Attempt-Id")),
-          {}, written);
+      co_await c->write(fmt::format("HTTP/1.1 503 Held\r\n{}: {}\r\nX-Attempt-Id: {}\r\nConnection: "
+                                    "close\r\nContent-Length: 0\r\n\r\n",
+                                    held_header, admission::reject_reason_names[std::size_t(early)],
+                                    c->in.header("X-Attempt-Id")),
+                        {}, written);
       co_return;
     }
     const auto source = got == codec::reading::longer ? std::make_shared<Source>(io_, c) : nullptr;
@@ -75,7 +75,7 @@
     const bool probes = !m.header("X-Mesh-Probe").empty();
     const micros told = std::max<long long>(0, codec::whole_number(m.header("X-Remaining-Ms"))) * 1000;
     const micros left = std::max<micros>(0, told - (clock_.now() - clock_.of(c->message_arrived())));
-    const admission::AdmissionController::Asked asked = asked_by(m);
+    const admission::AdmissionController::RequestInfo asked = asked_by(m);
     const std::string_view listed = m.header("Connection");
     for (std::size_t i = 0; i < m.headers(); ++i) {
       const auto [name, value] = m.header(i);
--- a/src/sidecar/request_routing.cpp
+++ b/src/sidecar/request_routing.cpp
@@ -184,13 +184,13 @@
   }
   const micros begun = clock_.now(), left = t->visit->expiry - begun;
   auto request = std::make_shared<OutgoingRequest>(*t->request);
-  const admission::AdmissionController::Asked asked{
+  const admission::AdmissionController::RequestInfo asked{
       t->channel->deadline, std::max<micros>(0, t->aim_at - begun), left, source != nullptr,
       source ? double(source->from->in.told().value_or(Source::kept)) : 0};
   request->headers =
       fmt::format("{}X-Remaining-Ms: {}\r\n{}: {}\r\n{}: {}\r\n{}: {}\r\n", t->common,
                   std::max<micros>(1, (left - closing_margin) / 1000), instance_header, order.server,
-                  deadline_header, asked.deadline / 1000, aim_header, asked.to_aim / 1000);
+                  deadline_header, asked.deadline / 1000, aim_header, asked.to_latency_target / 1000);
   ++t->offered;
   if (repeat) ++counts_.further;
   auto result = std::make_shared<Result>(
@@ -237,7 +237,7 @@
 
 awaitable<Result> OutboundProxy::forward(std::shared_ptr<InFlightRequest> in_flight,
                                          std::shared_ptr<const OutgoingRequest> request, std::string server,
-                                         admission::AdmissionController::Asked asked,
+                                         admission::AdmissionController::RequestInfo asked,
                                          steady::time_point until) {
   const gossip::Machine machine = balancers_.machine(server);
   if (machine == self_)
@@ -245,7 +245,7 @@
   Result r;
   if (machine == 0) {
     r.how = outcome::held;
-    r.why = admission::names[std::size_t(admission::held::no_server)];
+    r.why = admission::reject_reason_names[std::size_t(admission::RejectReason::no_server)];
     co_return r;
   }
   r.fate = co_await way(machine).carry(in_flight, request, until);
--- a/src/sidecar/upstream_pool.cpp
+++ b/src/sidecar/upstream_pool.cpp
@@ -18,9 +18,9 @@
 }  // namespace
 
 bool of_connection(std::string_view name, std::string_view listed) {
-  static constexpr std::array own = {
-      "Connection", "Keep-Alive", "Proxy-Connection", "TE",    "Trailer",
-      "Upgrade",    "Transfer-Encoding",     "Content-Length",   "Expect"};
+  static constexpr std::array own = {"Connection", "Keep-Alive", "Proxy-Connection",  "TE",
+                                     "Trailer",    "Upgrade",    "Transfer-Encoding", "Content-Length",
+                                     "Expect"};
   if (std::any_of(own.begin(), own.end(), [&](const char* o) { return codec::same_name(o, name); }))
     return true;
   while (!listed.empty()) {
--- a/tests/mesh/sidecar_test.cpp
+++ b/tests/mesh/sidecar_test.cpp
@@ -148,7 +148,7 @@
       roll.take(r, 0);
       admission::Server s;
       s.id = r.server, s.service = "one", s.slots = 4, s.sequence = 1;
-      nodes_[std::size_t(i)]->hand->door().beat(sidecar::steady_now(), s, 0);
+      nodes_[std::size_t(i)]->hand->admission().on_heartbeat(sidecar::steady_now(), s, 0);
     }
     plan = configuration::RouteTableBuilder().build(c);
     for (auto& node : nodes_) {
@@ -166,11 +166,11 @@
   // Another server takes the place of the one beside a node, of a service that may be unknown so far.
   void serve_as(int i, const std::string& service) {
     gossip::MemberRecord r = *roll.find(machine(i));
-    admission::Server s = nodes_[std::size_t(i)]->hand->door().server();
+    admission::Server s = nodes_[std::size_t(i)]->hand->admission().server();
     s.id = r.server = fmt::format("i-{}-{}", service, ++r.sequence), s.service = r.service = service,
     s.sequence = 1;
     roll.take(r, 0);
-    nodes_[std::size_t(i)]->hand->door().beat(sidecar::steady_now(), s, 0);
+    nodes_[std::size_t(i)]->hand->admission().on_heartbeat(sidecar::steady_now(), s, 0);
     for (auto& node : nodes_) node->carry->servers(roll, sidecar::steady_now());
   }
   Box& box(int i) { return nodes_[std::size_t(i)]->box; }
@@ -197,10 +197,10 @@
       if (const auto c = weak.lock()) c->abort();
     if (!renamed) return;
     gossip::MemberRecord r = *roll.find(machine(i));
-    admission::Server s = n.hand->door().server();
+    admission::Server s = n.hand->admission().server();
     s.id = r.server = fmt::format("i-{}-{}", i, ++r.sequence), s.sequence = 1;
     roll.take(r, 0);
-    n.hand->door().beat(sidecar::steady_now(), s, 0);
+    n.hand->admission().on_heartbeat(sidecar::steady_now(), s, 0);
     for (auto& node : nodes_) node->carry->servers(roll, sidecar::steady_now());
   }
   // Another incarnation of the node: the connections of other nodes end.
@@ -616,9 +616,9 @@
 TEST(Sidecar, what_a_gate_holds_back_has_not_arrived_and_goes_to_another) {
   Mesh m(3);
   m.only({1, 2});
-  admission::Server s = m.hand(1).door().server();
+  admission::Server s = m.hand(1).admission().server();
   s.draining = true, s.sequence = 9;
-  m.hand(1).door().beat(sidecar::steady_now(), s, 0);  // callers have not heard of it
+  m.hand(1).admission().on_heartbeat(sidecar::steady_now(), s, 0);  // callers have not heard of it
   for (int i = 0; i < 6; ++i) CHECK_EQUAL(200, m.post().status);
   CHECK_EQUAL(0, m.box(1).arrivals);
   CHECK_EQUAL(6, m.box(2).runs);
@@ -627,7 +627,7 @@
 
 TEST(Sidecar, where_all_hold_it_back_the_answer_is_a_promise_with_a_time_at_once) {
   Mesh m(2);
-  for (int i = 0; i < 2; ++i) m.hand(i).door().departed(fmt::format("i-{}", i));
+  for (int i = 0; i < 2; ++i) m.hand(i).admission().on_departure(fmt::format("i-{}", i));
   const Answered a = m.post();
   CHECK_EQUAL(503, a.status);
   CHECK(!a.retry_after.empty());
@@ -637,7 +637,7 @@
 TEST(Sidecar, a_long_body_is_not_sent_to_a_node_that_holds_it_back) {
   Mesh m(3);
   m.only({1, 2});
-  m.hand(1).door().departed("i-1");
+  m.hand(1).admission().on_departure("i-1");
   const std::string body(300'000, 'b');
   for (int i = 0; i < 4; ++i) CHECK_EQUAL(200, m.post("/big/x", body).status);
   CHECK_EQUAL(4, m.box(2).runs);
@@ -650,7 +650,7 @@
   m.only({1});
   admission::Server s;
   s.id = "i-other", s.service = "other", s.sequence = 1;
-  m.hand(1).door().beat(sidecar::steady_now(), s, 0);
+  m.hand(1).admission().on_heartbeat(sidecar::steady_now(), s, 0);
   CHECK_EQUAL(503, m.get().status);
   CHECK_EQUAL(0, m.box(1).arrivals);
 }
@@ -1011,7 +1011,8 @@
         "2000\r\nContent-Length: 900000\r\n\r\n",
         std::string(400'000, 'u'));
     CHECK(m.until([&] {
-      return m.carry(0).pending() == 0 && m.carry(1).pending() == 0 && m.hand(remote).door().at_work() == 0;
+      return m.carry(0).pending() == 0 && m.carry(1).pending() == 0 &&
+             m.hand(remote).admission().in_progress() == 0;
     }));
     CHECK_EQUAL(0, m.box(remote).arrivals);
   }
@@ -1253,10 +1254,10 @@
     return probed;
   };
   CHECK_EQUAL(200, probe());
-  CHECK(!m.hand(0).door().cold(sidecar::steady_now()));
+  CHECK(!m.hand(0).admission().warming_up(sidecar::steady_now()));
   answering = "i-0";
   CHECK_EQUAL(200, probe());
-  CHECK(m.hand(0).door().cold(sidecar::steady_now()));
+  CHECK(m.hand(0).admission().warming_up(sidecar::steady_now()));
 }
 
 TEST(Sidecar, a_servers_keep_alive_timeout_bounds_the_reuse_of_its_connection) {
