--- a/src/admission/admission_controller.cpp
+++ b/src/admission/admission_controller.cpp
@@ -21,14 +21,14 @@
 constexpr int reserved_connections = 2;
 // Weight of the mean service time, as a number of samples.
 constexpr double service_time_samples = 30;
-// Part of the time left within which the answer has to be expected.
-constexpr double expected_part = 0.8;
-// Part of the shortest deadline that requests with longer ones may use up.
-constexpr double longer_deadlines_part = 0.5;
-// Part of the link that streamed bodies may use.
-constexpr double streamed_part = 0.85;
-// Part of the time left in which the body of a request has to arrive that has missed its latency target.
-constexpr double late_part = 0.1;
+// Fraction of the time left within which the answer has to be expected.
+constexpr double expected_fraction = 0.8;
+// Fraction of the shortest deadline that requests with longer ones may use up.
+constexpr double longer_deadlines_fraction = 0.5;
+// Fraction of the link that streamed bodies may use.
+constexpr double streamed_fraction = 0.85;
+// Fraction of the time left in which the body of a request has to arrive that has missed its latency target.
+constexpr double late_fraction = 0.1;
 
 void append_time(std::deque<std::int64_t>& times, std::int64_t now) {
   times.push_back(now);
@@ -43,22 +43,23 @@
 double max_beside_shortest(const Limits& limits, const RequestInfo& request) {
   if (limits.shortest_deadline <= 0 || request.deadline <= limits.shortest_deadline)
     return std::numeric_limits<double>::infinity();
-  return longer_deadlines_part * expected_part * double(limits.shortest_deadline);
+  return longer_deadlines_fraction * expected_fraction * double(limits.shortest_deadline);
 }
 
 // The longest expected duration at which a request is admitted. One with the shortest deadline can't be
 // repeated, since mostly its caller is a server that has worked already: it may take until its deadline.
 // Others are of use until their latency target, and must not delay those.
 double max_expected_duration(const Limits& limits, const RequestInfo& request) {
-  if (request.deadline <= limits.shortest_deadline) return expected_part * double(request.to_deadline);
-  return std::min(expected_part * double(request.to_latency_target), max_beside_shortest(limits, request));
+  if (request.deadline <= limits.shortest_deadline) return expected_fraction * double(request.to_deadline);
+  return std::min(expected_fraction * double(request.to_latency_target),
+                  max_beside_shortest(limits, request));
 }
 
 // How long a streamed body may take to arrive. All of them share the link: more of them delay each other and
 // everything else. One that has missed its target goes where little else is under way.
 double max_transfer_time(const RequestInfo& request) {
-  if (request.to_latency_target > 0) return expected_part * double(request.to_latency_target);
-  return late_part * double(request.to_deadline);
+  if (request.to_latency_target > 0) return expected_fraction * double(request.to_latency_target);
+  return late_fraction * double(request.to_deadline);
 }
 
 int warmup_requests_per_second(const Limits& limits) {
@@ -134,7 +135,7 @@
 // be in time, or for those with the shortest deadline, which come over the same link.
 bool AdmissionController::link_overloaded(const Limits& limits, const RequestInfo& request) const {
   const double bytes = expected_bytes_ + request.body_bytes;
-  const double transfer_time = bytes / (streamed_part * limits.link_bytes_per_s) * second;
+  const double transfer_time = bytes / (streamed_fraction * limits.link_bytes_per_s) * second;
   const double limit = std::min(max_transfer_time(request), max_beside_shortest(limits, request));
   return transfer_time + service_time_ > limit;
 }
