--- a/src/app/control_plane_process.cpp
+++ b/src/app/control_plane_process.cpp
@@ -1,131 +1,161 @@
 // The role on each core machine.
 #include <fmt/format.h>
-#include <rapidjson/stringbuffer.h>
-#include <rapidjson/writer.h>
 
-#include <boost/leaf/handle_errors.hpp>
-#include <csignal>
-#include <filesystem>
+#include <algorithm>
+#include <utility>
 
 #include "../control_plane/replicated_state.h"
-#include "../log/log.h"
 #include "../rpc/calls.h"
-#include "../storage/leveldb_store.h"
 #include "mesh_process.h"
+#include "replica_store.h"
+#include "status_json.h"
 
 namespace robinpin::app {
 
-int run_role(const std::function<storage::result<int>()>& role);
-
 namespace {
 
 using namespace std::chrono_literals;
 using asio::awaitable;
+using control_plane::OperatorRequest;
+using control_plane::RequestOutcome;
 using event_log::EventType;
+using RequestKind = OperatorRequest::what;
+
+constexpr codec::Limits control_call_limits = {16 * 1024, 16 * 1024 * 1024};
+constexpr std::chrono::milliseconds control_call_timeout = 30s;
+constexpr int reserved_descriptors = 264;  // the store's files, and sockets other than those of control calls
+constexpr int least_descriptors = 32;
+
+// Microseconds.
+constexpr std::int64_t reply_slack = 150'000;  // that an outcome may reach its caller late
+constexpr std::int64_t longest_handover = 2'500'000;
+constexpr std::int64_t tick_distance = 100'000;
+constexpr std::int64_t shortest_wake_up = 1'000;
 
-constexpr codec::Limits call_limits = {16 * 1024, 16 * 1024 * 1024};
-constexpr std::int64_t late = 150'000;  // microseconds past its time that an outcome may reach its caller
+std::uint64_t draw_random_seed_64(const bootstrap::Settings& settings) {
+  return (std::uint64_t(draw_random_seed(settings)) << 32) | draw_random_seed(settings);
+}
 
 class ControlPlaneProcess : public MeshProcess {
  public:
-  ControlPlaneProcess(bootstrap::Settings s, std::string path, std::unique_ptr<storage::KeyValueStore> trove,
-                      std::string aside)
-      : MeshProcess(std::move(s), std::move(path), true),
-        sockets_(std::max(32, settings.file_limit - 264)),
-        storage_(std::move(trove)),
-        replicated_state_(transport::parse_address(settings.ip), configuration_, gossip_, *storage_,
-                          (std::uint64_t(chance_of(settings)) << 32) | chance_of(settings),
-                          {settings.contact_timeout}),
-        control_(io_, sockets_, call_limits, {.wait = 30s, .for_who_waits = true}),
-        wakes_(io_),
-        aside_(std::move(aside)) {
-    using What = control_plane::OperatorRequest::what;
-    control_.on<rpc::Adjust>([this](rpc::Adjust c) { return order({What::adjust, std::move(c.body)}); });
-    control_.on<rpc::Read>([this](rpc::Read) { return order({What::read, {}}); });
-    control_.on<rpc::Evacuation<true>>(
-        [this](rpc::Evacuation<true> c) { return for_zone(What::begin, std::move(c.zone)); });
-    control_.on<rpc::Evacuation<false>>(
-        [this](rpc::Evacuation<false> c) { return for_zone(What::finish, std::move(c.zone)); });
-    control_.on<rpc::CoreSize>([this](rpc::CoreSize c) { return order({What::size, std::move(c.count)}); });
-    control_.on<rpc::Status>([this](rpc::Status) -> awaitable<rpc::Reply> {
-      co_return rpc::Reply{200, status(), {}};
-    });
-    control_.on<rpc::Readiness>([this](rpc::Readiness) -> awaitable<rpc::Done> {
-      co_return rpc::Done{replicated_state_.fresh(now()), "not in contact with a majority of the core"};
-    });
+  ControlPlaneProcess(bootstrap::Settings initial_settings, std::string settings_path, ReplicaStore replica)
+      : MeshProcess(std::move(initial_settings), std::move(settings_path), bootstrap::MachineKind::core),
+        sockets_(std::max(least_descriptors, settings.file_limit - reserved_descriptors)),
+        replica_(std::move(replica)),
+        replicated_state_(transport::parse_address(settings.ip), configuration_, gossip_, *replica_.store,
+                          draw_random_seed_64(settings), {settings.contact_timeout}),
+        control_server_(io_, sockets_, control_call_limits,
+                        {.call_timeout = control_call_timeout, .only_for_connected_callers = true}),
+        wake_up_timer_(io_),
+        handover_timer_(io_) {
+    register_calls();
   }
 
   storage::result<int> run() {
-    BOOST_LEAF_CHECK(open());
-    BOOST_LEAF_CHECK(replicated_state_.begin(now(), settings.first_start, machines_of(settings.seed_nodes)));
-    control_.listen(node::endpoint_of(settings.ports.at("control")));
-    event_log_.append(
-        EventType::role_started, now(),
-        fmt::format("role=control-plane node={} items={}", settings.node, configuration_.items().size()));
-    if (!aside_.empty()) event_log_.append(EventType::storage_quarantined, now(), aside_);
-    event_log_.append(EventType::replica_stale, now());
-    control_.run();
-    begin();
+    if (auto opened = open_transport(); !opened) return opened.error();
+    auto begun = replicated_state_.begin(now(), settings.first_start, parse_machines(settings.seed_nodes));
+    if (!begun) return begun.error();
+    control_server_.listen(node::endpoint_of(settings.ports.at("control")));
+    log_start();
+    control_server_.run();
+    start_events();
     gossip::Outbox out;
     gossip_.state(now(), {}, out);
     replicated_state_.tick(now(), out);
     send(out);
     io_.run();
-    leave(failed_ ? 1 : 0);
+    exit_process(has_storage_failed_ ? 1 : 0);
   }
 
  private:
-  // A name that nobody knows may be mistyped: it is told so. One that the state has is known, too, whatever
-  // the settings say by now: what stands can be taken back, and what was taken is acknowledged again.
-  awaitable<rpc::Reply> for_zone(control_plane::OperatorRequest::what is, std::string zone) {
+  void register_calls() {
+    control_server_.handle<rpc::Adjust>([this](rpc::Adjust call) {
+      return execute({RequestKind::adjust, std::move(call.body)});
+    });
+    control_server_.handle<rpc::Read>([this](rpc::Read) { return execute({RequestKind::read, {}}); });
+    control_server_.handle<rpc::Evacuation<true>>([this](rpc::Evacuation<true> call) {
+      return execute_for_zone(RequestKind::begin, std::move(call.zone));
+    });
+    control_server_.handle<rpc::Evacuation<false>>([this](rpc::Evacuation<false> call) {
+      return execute_for_zone(RequestKind::finish, std::move(call.zone));
+    });
+    control_server_.handle<rpc::CoreSize>([this](rpc::CoreSize call) {
+      return execute({RequestKind::size, std::move(call.count)});
+    });
+    control_server_.handle<rpc::Status>([this](rpc::Status) -> awaitable<rpc::Reply> {
+      const ProcessView process{settings, configuration_, gossip_, *transport_, now()};
+      co_return rpc::Reply{200, control_plane_status_json(process, replicated_state_), {}};
+    });
+    control_server_.handle<rpc::Readiness>([this](rpc::Readiness) -> awaitable<rpc::Acknowledgement> {
+      co_return rpc::Acknowledgement{replicated_state_.fresh(now()),
+                                     "not in contact with a majority of the core"};
+    });
+  }
+
+  void log_start() {
+    event_log_.append(
+        EventType::role_started, now(),
+        fmt::format("role=control-plane node={} items={}", settings.node, configuration_.items().size()));
+    if (!replica_.quarantine_reason.empty())
+      event_log_.append(EventType::storage_quarantined, now(), replica_.quarantine_reason);
+    event_log_.append(EventType::replica_stale, now());
+  }
+
+  // An unknown zone is probably misspelt: 404. A zone that the state has ever had is known whatever the
+  // settings say by now, so that an evacuation can always be revoked, and a repeated call be acknowledged.
+  awaitable<rpc::Reply> execute_for_zone(RequestKind kind, std::string zone) {
     if (!settings.may_be_zone(zone) &&
         !configuration_.find(std::string(configuration::evacuation_mark) + zone))
       co_return rpc::Reply{404, R"({"fault":"the settings know no such zone"})", {}};
-    control_plane::OperatorRequest asked{is, std::move(zone)};
-    co_return co_await order(std::move(asked));
+    OperatorRequest request{kind, std::move(zone)};
+    co_return co_await execute(std::move(request));
   }
 
-  awaitable<rpc::Reply> order(control_plane::OperatorRequest what) {
-    struct Wait {
-      explicit Wait(asio::io_context& io) : news(io, std::chrono::steady_clock::time_point::max()) {}
-      asio::steady_timer news;
-      std::optional<control_plane::RequestOutcome> outcome;
+  awaitable<rpc::Reply> execute(OperatorRequest request) {
+    struct PendingOutcome {
+      explicit PendingOutcome(asio::io_context& io)
+          : arrived(io, std::chrono::steady_clock::time_point::max()) {}
+      asio::steady_timer arrived;  // cancelled once the outcome is there
+      std::optional<RequestOutcome> outcome;
     };
-    const auto wait = std::make_shared<Wait>(io_);
-    const auto is = what.is;
+    const auto pending = std::make_shared<PendingOutcome>(io_);
+    const RequestKind kind = request.is;
     const std::int64_t begun = now();
     gossip::Outbox out;
     replicated_state_.order(
-        now(), std::move(what),
-        [wait](control_plane::RequestOutcome o) {
-          wait->outcome = std::move(o);
-          wait->news.cancel();
+        now(), std::move(request),
+        [pending](RequestOutcome outcome) {
+          pending->outcome = std::move(outcome);
+          pending->arrived.cancel();
         },
         out);
     send(out);
-    while (!wait->outcome) {
-      asio::error_code woken;
-      co_await wait->news.async_wait(asio::redirect_error(asio::use_awaitable, woken));
+    while (!pending->outcome) {
+      asio::error_code cancelled;
+      co_await pending->arrived.async_wait(asio::redirect_error(asio::use_awaitable, cancelled));
     }
-    changed();
-    const int status = wait->outcome->status;
-    if (status == 503)
-      event_log_.append(EventType::change_undecided, now(), wait->outcome->body);
-    else if (status >= 400)
-      event_log_.append(EventType::change_rejected, now(), wait->outcome->body);
-    else if (is == control_plane::OperatorRequest::what::adjust)
+    apply_state_changes();
+    log_outcome(kind, *pending->outcome);
+    const int status = pending->outcome->status;
+    // A read or a rejection describes the state of that time only, which this process may have outlived while
+    // it stood still. An acknowledged change stays acknowledged.
+    const bool expires = status != 200 || kind == RequestKind::read;
+    const std::int64_t valid_until =
+        expires ? begun + control_plane::ReplicatedState::patience + reply_slack : 0;
+    co_return rpc::Reply{status, std::move(pending->outcome->body), {}, valid_until};
+  }
+
+  void log_outcome(RequestKind kind, const RequestOutcome& outcome) {
+    if (outcome.status == 503)
+      event_log_.append(EventType::change_undecided, now(), outcome.body);
+    else if (outcome.status >= 400)
+      event_log_.append(EventType::change_rejected, now(), outcome.body);
+    else if (kind == RequestKind::adjust)
       event_log_.append(EventType::change_committed, now());
-    else if (is == control_plane::OperatorRequest::what::begin)
+    else if (kind == RequestKind::begin)
       event_log_.append(EventType::zone_evacuated, now());
-    else if (is == control_plane::OperatorRequest::what::finish)
+    else if (kind == RequestKind::finish)
       event_log_.append(EventType::zone_restored, now());
-    // What was read, or refused, by then says nothing of now where this process stood still since. That a
-    // change was taken stays true.
-    const bool ages = status != 200 || is == control_plane::OperatorRequest::what::read;
-    co_return rpc::Reply{status,
-                         std::move(wait->outcome->body),
-                         {},
-                         ages ? begun + control_plane::ReplicatedState::patience + late : 0};
   }
 
   void on_datagram(gossip::Machine from, std::string_view datagram) override {
@@ -137,174 +167,112 @@
       gossip_.on_datagram(now(), from, datagram, out);
     }
     send(out);
-    after();
+    follow_replicated_state();
   }
 
-  void ticked(bool) override {
+  void on_tick(bool) override {
     gossip::Outbox out;
     replicated_state_.tick(now(), out);
     gossip_.tick(now(), out);
     send(out);
-    after();
+    follow_replicated_state();
   }
 
-  // A disk that has failed once is believed no more: the process ends, and whoever starts it anew reads what
-  // lasts.
-  void after() {
-    if (replicated_state_.failed() && !failed_) {
-      failed_ = true;
-      event_log_.append(EventType::storage_failed, now(),
-                        storage::to_string(replicated_state_.failed()->step) + std::string(" ") +
-                            replicated_state_.failed()->peer + ": " + replicated_state_.failed()->reason);
-      io_.stop();
-    }
-    if (const bool is = replicated_state_.fresh(now()); is != was_fresh_) {
-      was_fresh_ = is;
-      event_log_.append(is ? EventType::replica_current : EventType::replica_stale, now());
-    }
-    if (replicated_state_.voters().version != epoch_) {
-      epoch_ = replicated_state_.voters().version;
-      std::string who;
-      for (const auto& s : replicated_state_.voters().all())
-        who += fmt::format(" {}", transport::format_address(gossip::Machine(std::stoul(s.address))));
-      event_log_.append(
-          EventType::voters_changed, now(),
-          fmt::format("epoch={} changing={} who={}", epoch_, replicated_state_.voters().changing(), who));
-    }
-    if (leaving_ && replicated_state_.may_go()) io_.stop();
-    arm();
-    changed();
+  // Whatever may have changed the replicated state is followed by this.
+  void follow_replicated_state() {
+    stop_if_storage_failed();
+    log_freshness();
+    log_voters();
+    if (is_leaving_ && replicated_state_.may_go()) io_.stop();
+    schedule_wake_up();
+    apply_state_changes();
   }
 
-  // Between two ticks, where something is due sooner.
-  void arm() {
-    const std::int64_t at = replicated_state_.wake();
-    if (at >= now() + 100'000 || at == armed_) return;
-    armed_ = at;
-    wakes_.expires_after(std::chrono::microseconds(std::max<std::int64_t>(1'000, at - now())));
-    wakes_.async_wait([this](asio::error_code over) {
-      if (over) return;
-      armed_ = 0;
+  // A disk that has failed once is not trusted any more: the process ends, and the next one reads what lasts.
+  void stop_if_storage_failed() {
+    if (has_storage_failed_ || !replicated_state_.failed()) return;
+    has_storage_failed_ = true;
+    const storage::Error& error = *replicated_state_.failed();
+    event_log_.append(EventType::storage_failed, now(),
+                      fmt::format("{} {}: {}", storage::to_string(error.step), error.peer, error.reason));
+    io_.stop();
+  }
+
+  void log_freshness() {
+    const bool is_fresh = replicated_state_.fresh(now());
+    if (is_fresh == was_fresh_) return;
+    was_fresh_ = is_fresh;
+    event_log_.append(is_fresh ? EventType::replica_current : EventType::replica_stale, now());
+  }
+
+  void log_voters() {
+    const auto& voters = replicated_state_.voters();
+    if (voters.version == logged_epoch_) return;
+    logged_epoch_ = voters.version;
+    std::string addresses;
+    for (const auto& voter : voters.all())
+      addresses += fmt::format(" {}", transport::format_address(gossip::Machine(std::stoul(voter.address))));
+    event_log_.append(
+        EventType::voters_changed, now(),
+        fmt::format("epoch={} changing={} who={}", logged_epoch_, voters.changing(), addresses));
+  }
+
+  // Ticks the replicated state before the next regular tick if something is due sooner.
+  void schedule_wake_up() {
+    const std::int64_t due = replicated_state_.wake();
+    if (due >= now() + tick_distance || due == scheduled_wake_up_) return;
+    scheduled_wake_up_ = due;
+    wake_up_timer_.expires_after(std::chrono::microseconds(std::max(shortest_wake_up, due - now())));
+    wake_up_timer_.async_wait([this](asio::error_code error) {
+      if (error) return;
+      scheduled_wake_up_ = 0;
       gossip::Outbox out;
       replicated_state_.tick(now(), out);
       send(out);
-      after();
+      follow_replicated_state();
     });
   }
 
-  void learnt() override {}
-  void switched() override { replicated_state_.seeds(machines_of(settings.seed_nodes)); }
+  void on_state_changed() override {}
+  void on_settings_changed() override { replicated_state_.seeds(parse_machines(settings.seed_nodes)); }
 
-  // A seat that somebody can take is given up first.
-  void told_to_end() override {
-    if (leaving_) return;
-    leaving_ = true;
+  // A vote that another machine can take over is handed over first.
+  void on_termination_signal() override {
+    if (is_leaving_) return;
+    is_leaving_ = true;
     gossip::Outbox out;
     replicated_state_.leave(now(), out);
     send(out);
-    last_end_.expires_after(
-        std::chrono::microseconds(std::min<std::int64_t>(settings.grace_period / 2, 2'500'000)));
-    last_end_.async_wait([this](asio::error_code over) {
-      if (!over) io_.stop();
+    const std::int64_t handover_time = std::min(settings.grace_period / 2, longest_handover);
+    handover_timer_.expires_after(std::chrono::microseconds(handover_time));
+    handover_timer_.async_wait([this](asio::error_code error) {
+      if (!error) io_.stop();
     });
-    after();
-  }
-
-  std::string status() const {
-    rapidjson::StringBuffer buffer;
-    rapidjson::Writer<rapidjson::StringBuffer> out(buffer);
-    out.StartObject();
-    out.Key("role"), out.String("control-plane");
-    out.Key("node"), out.String(settings.node.c_str());
-    out.Key("zone"), out.String(settings.zone.c_str());
-    out.Key("copy_whole"), out.Bool(replicated_state_.fresh(now()));
-    out.Key("store"), out.String(replicated_state_.store().c_str());
-    out.Key("votes"), out.Bool(replicated_state_.votes());
-    out.Key("number"), out.Uint64(replicated_state_.number());
-    out.Key("epoch"), out.Uint64(replicated_state_.voters().version);
-    out.Key("changing"), out.Bool(replicated_state_.voters().changing());
-    out.Key("floor"), out.Uint64(configuration_.floor());
-    out.Key("items"), out.Uint64(configuration_.items().size());
-    out.Key("orders"), out.Uint64(replicated_state_.orders());
-    out.Key("datagrams"), out.Uint64(transport_->datagrams_sent);
-    out.Key("datagram_bytes"), out.Uint64(transport_->bytes_sent);
-    out.Key("core"), out.StartArray();
-    for (const auto m : gossip_.cores()) out.String(transport::format_address(m).c_str());
-    out.EndArray();
-    out.Key("peers"), out.StartArray();
-    for (const auto& [m, p] : replicated_state_.peers()) {
-      out.StartObject();
-      out.Key("machine"), out.String(transport::format_address(m).c_str());
-      out.Key("store"), out.String(p.told.store.c_str());
-      out.Key("number"), out.Uint64(p.told.holds.number);
-      out.Key("votes"), out.Bool(p.told.votes);
-      out.Key("leaving"), out.Bool(p.told.leaving);
-      out.Key("heard_ms"), out.Int64((now() - p.heard) / 1000);
-      out.Key("answered_ms"), out.Int64(p.contact < 0 ? -1 : (now() - p.contact) / 1000);
-      out.EndObject();
-    }
-    out.EndArray();
-    out.Key("members"), out.StartArray();
-    for (const auto& [m, e] : gossip_.members().entries()) {
-      out.StartObject();
-      out.Key("machine"), out.String(transport::format_address(m).c_str());
-      out.Key("zone"), out.String(e.record.zone.c_str());
-      out.Key("state"), out.String(e.record.expired ? "expired" : e.record.leaving ? "leaving" : "member");
-      out.Key("server"), out.String(e.record.server.c_str());
-      out.EndObject();
-    }
-    out.EndArray();
-    out.EndObject();
-    return buffer.GetString();
+    follow_replicated_state();
   }
 
   node::Sockets sockets_;
-  std::unique_ptr<storage::KeyValueStore> storage_;
+  const ReplicaStore replica_;
   control_plane::ReplicatedState replicated_state_;
-  rpc::Port control_;
-  asio::steady_timer wakes_, last_end_{io_};
-  std::int64_t armed_ = 0;
-  std::uint64_t epoch_ = 0;
-  const std::string aside_;  // why, where the disk's store was
-  bool was_fresh_ = false, failed_ = false, leaving_ = false;
+  rpc::Server control_server_;
+  asio::steady_timer wake_up_timer_, handover_timer_;
+  std::int64_t scheduled_wake_up_ = 0;  // 0: none
+  std::uint64_t logged_epoch_ = 0;
+  bool was_fresh_ = false;
+  bool has_storage_failed_ = false;
+  bool is_leaving_ = false;
 };
 
-// A store that can't be read for what it was is set aside: its machine is one with a lost disk, which the
-// others know how to take in. What was never told from a good one is found by the voters' counters
-// (locus/keep).
-storage::result<std::unique_ptr<storage::KeyValueStore>> opened(const std::string& folder,
-                                                                std::string& aside) {
-  const auto usable = [&]() -> storage::result<std::unique_ptr<storage::KeyValueStore>> {
-    BOOST_LEAF_AUTO(trove, storage::open_leveldb_store(folder));
-    BOOST_LEAF_AUTO(held, trove->read_all());
-    BOOST_LEAF_CHECK(control_plane::kept(held));
-    return trove;
-  };
-  return boost::leaf::try_handle_some(
-      usable, [&](const storage::Error& t) -> storage::result<std::unique_ptr<storage::KeyValueStore>> {
-        std::error_code wrong;
-        if (t.step != storage::Error::Step::corruption)
-          return boost::leaf::new_error(t);  // in use, or no room: it may be right again
-        aside = storage::to_string(t.step) + std::string(" ") + t.peer + ": " + t.reason;
-        std::filesystem::remove_all(folder + ".aside", wrong);  // one is kept, for whoever looks into it
-        std::filesystem::rename(folder, folder + ".aside", wrong);
-        if (wrong) return boost::leaf::new_error(t);
-        return storage::open_leveldb_store(folder);
-      });
-}
-
 }  // namespace
 
 int run_control_plane(const Start& start) {
-  std::signal(SIGPIPE, SIG_IGN);
-  return run_role([&]() -> storage::result<int> {
-    BOOST_LEAF_AUTO(settings, bootstrap::load_settings(start.settings, bootstrap::MachineKind::core));
-    std::string aside;
-    BOOST_LEAF_AUTO(trove, opened(settings.data_dir + "/trove", aside));
-    if (!aside.empty()) settings.first_start = false;
-    ControlPlaneProcess role(std::move(settings), start.settings, std::move(trove), std::move(aside));
-    return role.run();
-  });
+  return run_process(start, bootstrap::MachineKind::core,
+                     [&start](bootstrap::Settings settings) -> storage::result<int> {
+                       BOOST_LEAF_AUTO(replica, open_replica_store(settings.data_dir + "/trove"));
+                       if (!replica.quarantine_reason.empty()) settings.first_start = false;
+                       ControlPlaneProcess process(std::move(settings), start.settings, std::move(replica));
+                       return process.run();
+                     });
 }
 
 }  // namespace robinpin::app
--- a/src/app/mesh_process.cpp
+++ b/src/app/mesh_process.cpp
@@ -1,181 +1,238 @@
 #include "mesh_process.h"
 
+#include <fmt/format.h>
+
 #include <boost/leaf/handle_errors.hpp>
 #include <csignal>
 #include <cstdlib>
 #include <random>
+#include <utility>
 
 #include "../log/log.h"
 
 namespace robinpin::app {
 
 namespace {
+
+using event_log::EventType;
 using namespace std::chrono_literals;
-constexpr auto tick_every = 100ms;
-constexpr std::int64_t leap =
-    1'000'000;  // microseconds beyond its time that a tick may come before it tells of a stop
-
-log::level level_of(event_log::EventType e) {
-  using event_log::EventType;
-  return e == EventType::storage_failed || e == EventType::settings_rejected ? log::level::error
-         : e == EventType::clock_jumped || e == EventType::change_undecided ||
-                 e == EventType::replica_stale || e == EventType::storage_quarantined
-             ? log::level::warning
-             : log::level::info;
-}
-
-// Of the wall clock, so that a later incarnation of a machine's process is higher; where the clock was set
-// back, the first word from others lifts it.
-std::uint64_t incarnation() {
-  return std::uint64_t(std::chrono::duration_cast<std::chrono::milliseconds>(
-                           std::chrono::system_clock::now().time_since_epoch())
-                           .count());
+
+constexpr auto tick_interval = 100ms;
+constexpr std::int64_t clock_jump_threshold = 1'000'000;  // microseconds from one tick to the next
+
+log::level log_level_of(EventType type) {
+  switch (type) {
+    case EventType::storage_failed:
+    case EventType::settings_rejected:
+      return log::level::error;
+    case EventType::clock_jumped:
+    case EventType::change_undecided:
+    case EventType::replica_stale:
+    case EventType::storage_quarantined:
+      return log::level::warning;
+    default:
+      return log::level::info;
+  }
 }
-}  // namespace
 
-std::vector<gossip::Machine> machines_of(const std::vector<std::string>& addresses) {
-  std::vector<gossip::Machine> found;
-  for (const auto& a : addresses) found.push_back(transport::parse_address(a));
-  return found;
+void log_event(const event_log::Event& event) {
+  const log::level level = log_level_of(event.type);
+  if (!log::writes(log::part::node, level)) return;
+  log::write(log::part::node, level, fmt::format("E{} {}", int(event.type), event.text));
 }
 
-std::uint32_t chance_of(const bootstrap::Settings& s) {
-  return std::uint32_t(configuration::hashed(s.ip, std::random_device{}()));
+// From the wall clock, so that a later incarnation of a machine's process is higher. If the clock was set
+// back, the first message from a peer raises it.
+std::uint64_t new_incarnation() {
+  const auto since_epoch = std::chrono::system_clock::now().time_since_epoch();
+  return std::uint64_t(std::chrono::duration_cast<std::chrono::milliseconds>(since_epoch).count());
+}
+
+}  // namespace
+
+std::vector<gossip::Machine> parse_machines(const std::vector<std::string>& addresses) {
+  std::vector<gossip::Machine> machines;
+  machines.reserve(addresses.size());
+  for (const auto& address : addresses) machines.push_back(transport::parse_address(address));
+  return machines;
 }
 
-MeshProcess::MeshProcess(bootstrap::Settings told, std::string path, bool core)
-    : held_(std::move(told)),
-      event_log_([](const event_log::Event& e) {
-        const auto l = level_of(e.type);
-        if (log::writes(log::part::node, l))
-          log::write(log::part::node, l, fmt::format("E{} {}", int(e.type), e.text));
-      }),
-      gossip_({transport::parse_address(settings.ip), settings.zone, core}, incarnation(),
-              machines_of(settings.seed_nodes), configuration_, chance_of(settings)),
-      begun_(now()),
-      settings_watcher_(bootstrap::settings_path(path), core),
-      timer_(io_),
-      learns_(io_),
-      signals_(io_, SIGTERM, SIGINT) {
-  signals_.add(SIGHUP);
+std::uint32_t draw_random_seed(const bootstrap::Settings& settings) {
+  return std::uint32_t(configuration::hashed(settings.ip, std::random_device{}()));
 }
 
+MeshProcess::MeshProcess(bootstrap::Settings initial_settings, std::string settings_path,
+                         bootstrap::MachineKind kind)
+    : current_settings_(std::move(initial_settings)),
+      event_log_(log_event),
+      gossip_({transport::parse_address(settings.ip), settings.zone, kind == bootstrap::MachineKind::core},
+              new_incarnation(), parse_machines(settings.seed_nodes), configuration_,
+              draw_random_seed(settings)),
+      settings_watcher_(bootstrap::settings_path(settings_path), kind),
+      tick_timer_(io_),
+      apply_timer_(io_),
+      signals_(io_, SIGTERM, SIGINT, SIGHUP) {}
+
 std::int64_t MeshProcess::now() const {
-  return std::chrono::duration_cast<std::chrono::microseconds>(
-             std::chrono::steady_clock::now().time_since_epoch())
-      .count();
+  const auto since_start = std::chrono::steady_clock::now().time_since_epoch();
+  return std::chrono::duration_cast<std::chrono::microseconds>(since_start).count();
 }
 
-storage::result<void> MeshProcess::open() {
+storage::result<void> MeshProcess::open_transport() {
   BOOST_LEAF_ASSIGN(transport_, transport::UdpTransport::open(io_, transport::parse_address(settings.ip),
                                                               settings.internal_port));
   return {};
 }
 
-void MeshProcess::begin() {
+void MeshProcess::start_events() {
   transport_->set_handler(
       [this](gossip::Machine from, std::string_view datagram) { on_datagram(from, datagram); });
   last_tick_ = now();
-  signals();
-  tick();
+  watch_signals();
+  schedule_tick();
 }
 
 void MeshProcess::send(const gossip::Outbox& out) {
   const gossip::Machine self = transport::parse_address(settings.ip);
-  for (const auto& d : out)
-    if (d.to == self)
-      asio::post(io_, [this, self, bytes = d.bytes] {
-        on_datagram(self, bytes);
-      });  // once the others' are on their way
-    else
-      transport_->send(d.to, d.bytes);
+  for (const auto& datagram : out) {
+    if (datagram.to != self) {
+      transport_->send(datagram.to, datagram.bytes);
+      continue;
+    }
+    // Posted, so that the datagrams to others leave first.
+    asio::post(io_, [this, self, bytes = datagram.bytes] { on_datagram(self, bytes); });
+  }
 }
 
-void MeshProcess::leave(int code) {
-  event_log_.append(event_log::EventType::process_exiting, now(), fmt::format("code={}", code));
+void MeshProcess::exit_process(int exit_code) {
+  event_log_.append(EventType::process_exiting, now(), fmt::format("code={}", exit_code));
   log::finish();
-  std::_Exit(code);
+  std::_Exit(exit_code);
 }
 
-void MeshProcess::changed() {
-  if (learns_later_ ||
-      (configuration_.changes() == items_seen_ && gossip_.members().changes() == records_seen_))
+void MeshProcess::apply_state_changes() {
+  if (apply_pending_) return;
+  const std::uint64_t configuration_changes = configuration_.changes();
+  const std::uint64_t membership_changes = gossip_.members().changes();
+  if (configuration_changes == applied_configuration_changes_ &&
+      membership_changes == applied_membership_changes_)
     return;
   const std::int64_t at = now();
-  if (!throttle_.due(at)) {
-    learns_later_ = true;
-    learns_.expires_after(std::chrono::microseconds(throttle_.next() - at));
-    learns_.async_wait([this](asio::error_code over) {
-      if (over) return;
-      learns_later_ = false;
-      changed();
-    });
+  if (!apply_throttle_.due(at)) {
+    apply_state_changes_later(at);
     return;
   }
-  items_seen_ = configuration_.changes();
-  records_seen_ = gossip_.members().changes();
-  learnt();
-  throttle_.applied(at, now());
+  applied_configuration_changes_ = configuration_changes;
+  applied_membership_changes_ = membership_changes;
+  on_state_changed();
+  apply_throttle_.applied(at, now());
 }
 
-void MeshProcess::tick() {
-  timer_.expires_after(tick_every);
-  timer_.async_wait([this](asio::error_code over) {
-    if (over) return;
-    const std::int64_t at = now();
-    const bool leapt = at - last_tick_ > leap;
-    last_tick_ = at;
-    if (leapt) {
-      event_log_.append(event_log::EventType::clock_jumped, at);
-      gossip::Outbox out;
-      gossip_.leapt(at, out);
-      send(out);
-    }
-    look(false);
-    ticked(leapt);
-    if (configuration_.changes() != items_told_) {
-      items_told_ = configuration_.changes();
-      event_log_.append(event_log::EventType::items_changed, at,
-                        fmt::format("items={} changes={}", configuration_.items().size(), items_told_));
-    }
+void MeshProcess::apply_state_changes_later(std::int64_t at) {
+  apply_pending_ = true;
+  apply_timer_.expires_after(std::chrono::microseconds(apply_throttle_.next() - at));
+  apply_timer_.async_wait([this](asio::error_code error) {
+    if (error) return;
+    apply_pending_ = false;
+    apply_state_changes();
+  });
+}
+
+void MeshProcess::schedule_tick() {
+  tick_timer_.expires_after(tick_interval);
+  tick_timer_.async_wait([this](asio::error_code error) {
+    if (error) return;
     tick();
+    schedule_tick();
   });
 }
 
-void MeshProcess::look(bool signalled) {
+void MeshProcess::tick() {
+  const std::int64_t at = now();
+  const bool clock_jumped = at - last_tick_ > clock_jump_threshold;
+  last_tick_ = at;
+  if (clock_jumped) recover_from_clock_jump(at);
+  check_settings(false);
+  on_tick(clock_jumped);
+  log_configuration_changes(at);
+}
+
+void MeshProcess::recover_from_clock_jump(std::int64_t at) {
+  event_log_.append(EventType::clock_jumped, at);
+  gossip::Outbox out;
+  gossip_.leapt(at, out);
+  send(out);
+}
+
+void MeshProcess::log_configuration_changes(std::int64_t at) {
+  if (configuration_.changes() == logged_configuration_changes_) return;
+  logged_configuration_changes_ = configuration_.changes();
+  event_log_.append(
+      EventType::items_changed, at,
+      fmt::format("items={} changes={}", configuration_.items().size(), logged_configuration_changes_));
+}
+
+void MeshProcess::check_settings(bool signalled) {
   boost::leaf::try_handle_all(
       [&]() -> storage::result<void> {
-        BOOST_LEAF_AUTO(next, settings_watcher_.look(now(), signalled, held_));
-        if (!next) return {};
-        const bool news = *next != held_;
-        held_ = std::move(*next);
-        event_log_.append(event_log::EventType::settings_applied, now(),
-                          fmt::format("how={} changed={} seeds={}", signalled ? "signal" : "seen", news,
-                                      held_.seed_nodes.size()));
-        if (!news) return {};
-        gossip::Outbox out;
-        gossip_.seeds(now(), machines_of(held_.seed_nodes), out);
-        send(out);
-        switched();
+        BOOST_LEAF_AUTO(next, settings_watcher_.poll(now(), signalled, current_settings_));
+        if (next) apply_settings(std::move(*next), signalled);
         return {};
       },
-      [&](const storage::Error& t) {
-        event_log_.append(event_log::EventType::settings_rejected, now(), t.reason);
+      [&](const storage::Error& error) {
+        event_log_.append(EventType::settings_rejected, now(), error.reason);
       },
       [] {});
 }
 
-void MeshProcess::signals() {
-  signals_.async_wait([this](asio::error_code over, int signal) {
-    if (over) return;
+void MeshProcess::apply_settings(bootstrap::Settings next, bool signalled) {
+  const bool is_changed = next != current_settings_;
+  current_settings_ = std::move(next);
+  event_log_.append(EventType::settings_applied, now(),
+                    fmt::format("how={} changed={} seeds={}", signalled ? "signal" : "seen", is_changed,
+                                current_settings_.seed_nodes.size()));
+  if (!is_changed) return;
+  gossip::Outbox out;
+  gossip_.seeds(now(), parse_machines(current_settings_.seed_nodes), out);
+  send(out);
+  on_settings_changed();
+}
+
+void MeshProcess::watch_signals() {
+  signals_.async_wait([this](asio::error_code error, int signal) {
+    if (error) return;
     if (signal == SIGHUP) {
-      look(true);
+      check_settings(true);
     } else {
-      event_log_.append(event_log::EventType::stop_requested, now());
-      told_to_end();
+      event_log_.append(EventType::stop_requested, now());
+      on_termination_signal();
     }
-    signals();
+    watch_signals();
   });
 }
 
+int run_process(const Start& start, bootstrap::MachineKind kind,
+                const std::function<storage::result<int>(bootstrap::Settings)>& role) {
+  constexpr int start_failed = 1;
+  std::signal(SIGPIPE, SIG_IGN);
+  return boost::leaf::try_handle_all(
+      [&]() -> storage::result<int> {
+        BOOST_LEAF_AUTO(settings, bootstrap::load_settings(start.settings, kind));
+        return role(std::move(settings));
+      },
+      [](const storage::Error& error) {
+        fmt::print(stderr, "robinpin: {} {}: {}{}", storage::to_string(error.step), error.peer, error.reason,
+                   error.reason.ends_with('\n') ? "" : "\n");
+        return start_failed;
+      },
+      [](const std::exception& error) {
+        fmt::print(stderr, "robinpin: {}\n", error.what());
+        return start_failed;
+      },
+      [] {
+        fmt::print(stderr, "robinpin: unknown error\n");
+        return start_failed;
+      });
+}
+
 }  // namespace robinpin::app
--- a/src/app/mesh_process.h
+++ b/src/app/mesh_process.h
@@ -1,4 +1,4 @@
-// What the two roles share: the loop, what the process is told and by whom, the span, the journal of events.
+// What both roles of the mesh share: the event loop, gossip, settings and signals.
 #pragma once
 
 #include <asio.hpp>
@@ -19,63 +19,83 @@
 namespace robinpin::app {
 
 struct Start {
-  std::string settings;  // a path, or empty: as ROBINPIN_CONFIG says
+  std::string settings;  // path of the settings file; empty: what ROBINPIN_CONFIG names
 };
 
-// Each runs until SIGTERM or SIGINT; the exit code.
+// Each runs its role until SIGTERM or SIGINT. Returns an exit code if the role cannot start; a role that has
+// started ends the process itself.
 int run_sidecar(const Start& start);
 int run_control_plane(const Start& start);
 
+// One role of the mesh as a process. One thread runs all of it. Times are microseconds of the steady clock.
 class MeshProcess {
  public:
-  MeshProcess(bootstrap::Settings settings, std::string path, bool core);
+  MeshProcess(bootstrap::Settings settings, std::string settings_path, bootstrap::MachineKind kind);
   virtual ~MeshProcess() = default;
+  MeshProcess(const MeshProcess&) = delete;
+  MeshProcess& operator=(const MeshProcess&) = delete;
 
  private:
-  bootstrap::Settings held_;
+  bootstrap::Settings current_settings_;
 
  public:
-  const bootstrap::Settings& settings = held_;  // what parts hold on to: as last taken on
+  // The settings in force. Parts of the process keep this reference and see changed settings at once.
+  const bootstrap::Settings& settings = current_settings_;
 
  protected:
-  storage::result<void> open();  // the span
-  void begin();                  // ticks and signals
+  // Opens the datagram transport. Errors: the address cannot be bound.
+  storage::result<void> open_transport();
+  // Starts to receive datagrams, to tick and to watch for signals.
+  void start_events();
   void send(const gossip::Outbox& out);
   std::int64_t now() const;
+  // Calls on_state_changed() if the configuration or the membership has changed since the last call: at once,
+  // or later where changes come so often that applying them would take too much processor time.
+  void apply_state_changes();
+  // Ends the process without destructors: suspended coroutines refer to parts that would be destroyed first.
+  [[noreturn]] void exit_process(int exit_code);
+
   virtual void on_datagram(gossip::Machine from, std::string_view datagram) = 0;
-  virtual void ticked(bool leapt) = 0;  // every 100 ms or so
-  virtual void told_to_end() = 0;
-  // What was learnt may change what this process acts on.
-  virtual void learnt() = 0;
-  // Other settings are in force, and their seeds have been asked.
-  virtual void switched() = 0;
-  // Ends the process without unwinding: coroutines at rest hold on to parts that would go before them.
-  [[noreturn]] void leave(int code);
-  // Calls learnt() where the state or the roll has changed: at once, but where changes come by the hundred so
-  // seldom that it takes a part of the processor only.
-  void changed();
+  // About every 100 ms. `clock_jumped`: the process stood still since the last tick.
+  virtual void on_tick(bool clock_jumped) = 0;
+  virtual void on_termination_signal() = 0;
+  // The configuration or the membership has changed.
+  virtual void on_state_changed() = 0;
+  // Other settings are in force, and their seed nodes have been asked.
+  virtual void on_settings_changed() = 0;
 
   asio::io_context io_;
   event_log::EventLog event_log_;
   configuration::ConfigurationStore configuration_;
   gossip::Gossip gossip_;
   std::unique_ptr<transport::UdpTransport> transport_;
-  const std::int64_t begun_;
 
  private:
+  void schedule_tick();
   void tick();
-  void signals();
-  void look(bool signalled);
+  void recover_from_clock_jump(std::int64_t at);
+  void log_configuration_changes(std::int64_t at);
+  void watch_signals();
+  void check_settings(bool signalled);
+  void apply_settings(bootstrap::Settings next, bool signalled);
+  void apply_state_changes_later(std::int64_t at);
+
   SettingsWatcher settings_watcher_;
-  asio::steady_timer timer_, learns_;
+  asio::steady_timer tick_timer_, apply_timer_;
   asio::signal_set signals_;
   std::int64_t last_tick_ = 0;
-  ApplyThrottle throttle_;
-  bool learns_later_ = false;
-  std::uint64_t items_seen_ = 0, records_seen_ = 0, items_told_ = 0;
+  ApplyThrottle apply_throttle_;
+  bool apply_pending_ = false;
+  std::uint64_t applied_configuration_changes_ = 0;
+  std::uint64_t applied_membership_changes_ = 0;
+  std::uint64_t logged_configuration_changes_ = 0;
 };
 
-std::uint32_t chance_of(const bootstrap::Settings& s);
-std::vector<gossip::Machine> machines_of(const std::vector<std::string>& addresses);
+// Loads the settings and runs the role with them; prints what prevents its start on standard error.
+int run_process(const Start& start, bootstrap::MachineKind kind,
+                const std::function<storage::result<int>(bootstrap::Settings)>& role);
+
+std::uint32_t draw_random_seed(const bootstrap::Settings& settings);
+std::vector<gossip::Machine> parse_machines(const std::vector<std::string>& addresses);
 
 }  // namespace robinpin::app
--- a/src/app/settings_watcher.h
+++ b/src/app/settings_watcher.h
@@ -1,5 +1,5 @@
-// Looks out for a settings file that has changed, by a signal or without, and reads it whole or not at all.
-// Told the time; what a file says of its own times is only held against what it said before.
+// Detects that the settings file has changed, with or without a signal, and loads it as a whole or not at
+// all. Called with the time; the file's own times are only compared with earlier ones of the same file.
 #pragma once
 
 #include <cstdint>
@@ -13,28 +13,33 @@
 
 class SettingsWatcher {
  public:
-  static constexpr std::int64_t every = 2'000'000;  // microseconds between looks without a signal
+  static constexpr std::int64_t poll_interval = 2'000'000;  // microseconds between checks without a signal
 
-  // `path`: of the file that the process began with.
-  SettingsWatcher(std::string path, bool core) : path_(std::move(path)), core_(core) {}
+  // `path`: the file that the process was started with.
+  SettingsWatcher(std::string path, bootstrap::MachineKind kind) : path_(std::move(path)), kind_(kind) {}
 
-  // What is to be taken on in place of `old`; nothing where there is no news, and always something at a
-  // signal. May be called often: the file is looked at only each `every`, or at once where `signalled`.
-  // Errors: all faults of the file, or all of it that needs a new start, a line each with its pointer;
-  // without a signal not the same ones again.
-  storage::result<std::optional<bootstrap::Settings>> look(std::int64_t now, bool signalled,
-                                                           const bootstrap::Settings& old);
+  // The settings to apply in place of `current`, or nothing if there is no change; after a signal always the
+  // settings. `now` is in microseconds. May be called often: the file is checked once a `poll_interval`, or
+  // at once if `signalled`.
+  // Errors: every fault of the file, or every change that needs a restart, a line each with its pointer;
+  // without a signal the same ones are not returned again.
+  storage::result<std::optional<bootstrap::Settings>> poll(std::int64_t now, bool signalled,
+                                                           const bootstrap::Settings& current);
 
  private:
-  using Stamp = std::tuple<std::uint64_t, std::uint64_t, std::int64_t, std::int64_t, std::int64_t>;
-  Stamp stamp() const;
+  // Device, inode, size, and modification time in seconds and nanoseconds.
+  using FileStamp = std::tuple<std::uint64_t, std::uint64_t, std::int64_t, std::int64_t, std::int64_t>;
+
+  FileStamp read_file_stamp() const;
+  // The loaded settings; nothing, with `error` set, if the file is faulty or needs a restart.
+  std::optional<bootstrap::Settings> load(const bootstrap::Settings& current, storage::Error& error) const;
 
   std::string path_;
-  bool core_;
-  std::int64_t next_ = 0;
-  std::optional<Stamp> stamp_;  // of what was read last
-  bool again_ = false;          // what was read last may have been half written
-  std::string faults_;          // as last told; none since a good file
+  bootstrap::MachineKind kind_;
+  std::int64_t next_poll_ = 0;
+  std::optional<FileStamp> loaded_stamp_;  // of the file when it was last loaded
+  bool may_be_partially_written_ = false;  // the file when it was last loaded
+  std::string reported_faults_;            // the last errors returned; empty since a valid file
 };
 
 }  // namespace robinpin::app
--- a/src/rpc/server.cpp
+++ b/src/rpc/server.cpp
@@ -9,8 +9,36 @@
 
 namespace {
 using namespace std::chrono_literals;
-constexpr std::chrono::milliseconds head_limit = 3s, idle_limit = 30s, write_limit = 3s, breath = 20ms,
-                                    out_limit = 1s;
+constexpr std::chrono::milliseconds head_timeout = 3s;
+constexpr std::chrono::milliseconds idle_timeout = 30s;
+constexpr std::chrono::milliseconds write_timeout = 3s;
+constexpr std::chrono::milliseconds close_timeout = 1s;
+constexpr std::chrono::milliseconds accept_pause = 20ms;  // while descriptors are short
+constexpr int accept_backlog = 512;
+
+std::int64_t now_in_microseconds() {
+  const auto since_start = node::steady::now().time_since_epoch();
+  return std::chrono::duration_cast<std::chrono::microseconds>(since_start).count();
+}
+
+Reply unreadable(codec::reading reading) {
+  Reply reply;
+  reply.status = reading == codec::reading::body_too_long   ? 413
+                 : reading == codec::reading::head_too_long ? 431
+                                                            : 400;
+  reply.body = R"({"fault":"the request can't be read"})";
+  return reply;
+}
+
+std::string head_of(const Reply& reply, bool keeps_connection) {
+  return fmt::format("HTTP/1.1 {} {}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n{}{}\r\n",
+                     reply.status, phrase(reply.status), reply.body.size(), reply.headers,
+                     keeps_connection ? "" : "Connection: close\r\n");
+}
+
+bool may_read_on(codec::reading reading) {
+  return reading == codec::reading::unfinished || reading == codec::reading::complete;
+}
 }  // namespace
 
 std::string_view phrase(int status) {
@@ -59,94 +87,87 @@
 awaitable<void> accept(tcp::acceptor& acceptor, Sockets& sockets, codec::Limits limits,
                        std::function<awaitable<void>(std::shared_ptr<Connection>)> serve) {
   while (acceptor.is_open()) {
-    asio::error_code wrong;
-    tcp::socket socket = co_await acceptor.async_accept(asio::redirect_error(asio::use_awaitable, wrong));
-    if (wrong == asio::error::operation_aborted || !acceptor.is_open()) co_return;
-    if (wrong) {
-      asio::steady_timer pause(acceptor.get_executor(), breath);
-      co_await pause.async_wait(asio::redirect_error(asio::use_awaitable, wrong));
+    asio::error_code error;
+    tcp::socket socket = co_await acceptor.async_accept(asio::redirect_error(asio::use_awaitable, error));
+    if (error == asio::error::operation_aborted || !acceptor.is_open()) co_return;
+    if (error) {
+      asio::steady_timer pause(acceptor.get_executor(), accept_pause);
+      co_await pause.async_wait(asio::redirect_error(asio::use_awaitable, error));
       continue;
     }
-    if (!sockets.make_room()) continue;  // closed unread: its sender goes elsewhere
-    socket.set_option(tcp::no_delay(true), wrong);
-    auto c = std::make_shared<Connection>(std::move(socket), sockets, HTTP_REQUEST, limits);
-    asio::co_spawn(acceptor.get_executor(), serve(std::move(c)), node::log_failure);
+    if (!sockets.make_room()) continue;  // closed unread: the caller retries elsewhere
+    socket.set_option(tcp::no_delay(true), error);
+    auto connection = std::make_shared<Connection>(std::move(socket), sockets, HTTP_REQUEST, limits);
+    asio::co_spawn(acceptor.get_executor(), serve(std::move(connection)), node::log_failure);
   }
 }
 
-void Port::listen(tcp::endpoint at) { node::listen_at(acceptor_, at, 512); }
+void Server::listen(tcp::endpoint at) { node::listen_at(acceptor_, at, accept_backlog); }
 
-void Port::run() {
-  asio::co_spawn(io_,
-                 accept(acceptor_, sockets_, limits_,
-                        [this](std::shared_ptr<Connection> c) { return serve(std::move(c)); }),
-                 asio::detached);
+void Server::run() {
+  asio::co_spawn(
+      io_,
+      accept(acceptor_, sockets_, message_limits_,
+             [this](std::shared_ptr<Connection> connection) { return serve(std::move(connection)); }),
+      asio::detached);
 }
 
-awaitable<void> Port::serve(std::shared_ptr<Connection> c) {
+awaitable<void> Server::serve(std::shared_ptr<Connection> connection) {
   for (;;) {
-    c->limit(node::steady::now() + (c->in.begun() ? head_limit : idle_limit));
+    codec::Message& request = connection->in;
+    connection->limit(node::steady::now() + (request.begun() ? head_timeout : idle_timeout));
     asio::error_code error;
-    codec::reading got = c->in.whole() ? codec::reading::complete : co_await c->read(error);
-    if (error || got == codec::reading::unfinished) co_return;
-    Reply r;
-    const bool read = got == codec::reading::complete;
-    // What lay here while this process stood still, or the network did, was given up and sent to another
-    // since; an evacuation begun by it now would be begun after it was taken back.
-    if (read && bounds_.for_who_waits && c->peer_gone()) co_return;
-    if (read && waiting_ >= bounds_.most_waiting) {
-      r = {503, R"({"fault":"too many calls wait"})", {}};
-    } else if (read) {
-      c->limit(node::steady::now() + bounds_.wait);
-      ++waiting_;
-      r = co_await reply(c->in);
-      --waiting_;
-      if (!c->open()) co_return;
-    } else {
-      r.status = got == codec::reading::body_too_long   ? 413
-                 : got == codec::reading::head_too_long ? 431
-                                                        : 400;
-      r.body = R"({"fault":"the request can't be read"})";
-    }
-    // As late as can be: this process may stand still at any line, and there is none between this and the
-    // writing.
-    if (const auto at =
-            std::chrono::duration_cast<std::chrono::microseconds>(node::steady::now().time_since_epoch())
-                .count();
-        r.until > 0 && at > r.until)
-      r = {503, R"({"fault":"past its time"})", {}, 0};
-    // What stands behind a call that nobody here can settle now would wait as long, one after the other: it
-    // goes elsewhere.
-    const bool behind = read && r.status == 503 && (c->in.behind() || !c->still());
-    const bool stays = read && !behind && c->in.keep_alive();
-    c->limit(node::steady::now() + write_limit);
+    const codec::reading reading =
+        request.whole() ? codec::reading::complete : co_await connection->read(error);
+    if (error || reading == codec::reading::unfinished) co_return;
+    const bool is_readable = reading == codec::reading::complete;
+    // Such a request waited here while this process or the network stood still, and its caller has retried it
+    // elsewhere since: an evacuation begun now would be begun after it was revoked.
+    if (is_readable && limits_.only_for_connected_callers && connection->peer_gone()) co_return;
+    Reply reply = unreadable(reading);
+    if (is_readable) reply = co_await reply_within_limits(connection);
+    if (is_readable && !connection->open()) co_return;
+    // As late as possible: this process may stand still at any line, and none is between this and the write.
+    if (reply.valid_until > 0 && now_in_microseconds() > reply.valid_until)
+      reply = {503, R"({"fault":"past its time"})", {}, 0};
+    // Calls pipelined behind one that cannot be decided here would each wait as long: the caller retries them
+    // elsewhere.
+    const bool drops_pipelined =
+        is_readable && reply.status == 503 && (request.behind() || !connection->still());
+    const bool keeps_connection = is_readable && !drops_pipelined && request.keep_alive();
+    connection->limit(node::steady::now() + write_timeout);
     std::size_t written = 0;
-    const std::string head = fmt::format(
-        "HTTP/1.1 {} {}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n{}{}\r\n", r.status,
-        phrase(r.status), r.body.size(), r.headers, stays ? "" : "Connection: close\r\n");
-    error = co_await c->write(head, r.body, written);
-    if (!error && (!read || behind)) co_await c->see_out(out_limit);
-    if (error || !stays) co_return;
-    if (const auto next = c->in.next();
-        next != codec::reading::unfinished && next != codec::reading::complete)
-      co_return;
+    const std::string head = head_of(reply, keeps_connection);
+    error = co_await connection->write(head, reply.body, written);
+    if (!error && (!is_readable || drops_pipelined)) co_await connection->see_out(close_timeout);
+    if (error || !keeps_connection || !may_read_on(request.next())) co_return;
   }
 }
 
-awaitable<Reply> Port::reply(const codec::Message& m) {
-  const std::string_view target = m.target().substr(0, m.target().find('?'));
-  bool elsewhere = false;
-  for (const Entry& e : calls_) {
-    if (!target.starts_with(e.path)) continue;
-    const std::string argument(target.substr(e.path.size()));
-    if (!e.path.ends_with('/') && !argument.empty()) continue;
-    if (m.method() != e.method) {
-      elsewhere = true;
+awaitable<Reply> Server::reply_within_limits(std::shared_ptr<Connection> connection) {
+  if (pending_calls_ >= limits_.max_pending_calls)
+    co_return Reply{503, R"({"fault":"too many calls wait"})", {}};
+  connection->limit(node::steady::now() + limits_.call_timeout);
+  ++pending_calls_;
+  Reply reply = co_await dispatch(connection->in);
+  --pending_calls_;
+  co_return reply;
+}
+
+awaitable<Reply> Server::dispatch(const codec::Message& request) {
+  const std::string_view path = request.target().substr(0, request.target().find('?'));
+  bool is_known_path = false;
+  for (const Handler& handler : handlers_) {
+    if (!path.starts_with(handler.path)) continue;
+    const std::string argument(path.substr(handler.path.size()));
+    if (!handler.path.ends_with('/') && !argument.empty()) continue;
+    if (request.method() != handler.method) {
+      is_known_path = true;
       continue;
     }
-    co_return co_await e.answer(argument, m.body());
+    co_return co_await handler.invoke(argument, request.body());
   }
-  co_return Reply{elsewhere ? 405 : 404, R"({"fault":"no such call"})", {}};
+  co_return Reply{is_known_path ? 405 : 404, R"({"fault":"no such call"})", {}};
 }
 
 }  // namespace robinpin::rpc
--- a/src/rpc/server.h
+++ b/src/rpc/server.h
@@ -1,5 +1,5 @@
-// One generic handler for the calls of servers, operators and the platform: a call is a type that reads
-// itself from a request, its answer another that tells status and body. HTTP/1.1, JSON.
+// The server of control calls, from application servers, operators and the platform. A call is a type that
+// reads itself from a request, and its answer one that converts to status and body. HTTP/1.1, JSON.
 #pragma once
 
 #include <asio.hpp>
@@ -23,60 +23,70 @@
 struct Reply {
   int status = 200;
   std::string body = "{}";
-  std::string headers;     // further ones, each with its line end
-  std::int64_t until = 0;  // microseconds of the steady clock: after it this says nothing of now, and 503 is
-                           // answered. 0: for ever
+  std::string headers;  // additional ones, each with its line end
+  // Microseconds of the steady clock. From then on the reply no longer describes the present, and 503 is sent
+  // in its place. 0: never.
+  std::int64_t valid_until = 0;
 };
 
-// Of the calls at work on one port.
-struct Bounds {
-  std::size_t most_waiting = 128;         // one more is answered 503 unheard
-  std::chrono::milliseconds wait{3'000};  // for an answer; then the connection ends without one
-  bool for_who_waits =
-      false;  // a call whose caller has closed its end is not begun: it has gone elsewhere with it
+// Limits on the calls in progress at one server.
+struct ServerLimits {
+  std::size_t max_pending_calls = 128;            // a further one is answered 503 unread
+  std::chrono::milliseconds call_timeout{3'000};  // then the connection is closed without an answer
+  // A call whose caller has closed its end is not begun: the caller retries it elsewhere.
+  bool only_for_connected_callers = false;
 };
 
+// The reason phrase of an HTTP status.
 std::string_view phrase(int status);
 
-// Takes connections in and gives each to `serve`. Out of descriptors it waits a little instead of spinning.
+// Accepts connections and passes each to `serve`, until the acceptor is closed. Out of descriptors it pauses
+// instead of spinning.
 awaitable<void> accept(tcp::acceptor& acceptor, Sockets& sockets, codec::Limits limits,
                        std::function<awaitable<void>(std::shared_ptr<Connection>)> serve);
 
-class Port {
+// Serves typed calls over HTTP/1.1 at one address. Not thread-safe; has to outlive the loop's run.
+class Server {
  public:
-  Port(asio::io_context& io, Sockets& sockets, codec::Limits limits, Bounds bounds = {})
-      : io_(io), sockets_(sockets), limits_(limits), bounds_(bounds), acceptor_(io) {}
+  Server(asio::io_context& io, Sockets& sockets, codec::Limits message_limits, ServerLimits limits = {})
+      : io_(io), sockets_(sockets), message_limits_(message_limits), limits_(limits), acceptor_(io) {}
 
-  // `Call` has `method`, `path` (what follows it is the argument) and `read(argument, body)`, which gives
-  // nothing for a text that is no such call; `Call::Answer` turns into a Reply.
+  // Registers the handler of a call. `Call` has `method`, `path` (what follows it is the argument) and
+  // `read(argument, body)`, which returns nothing for a request that is no such call; `Call::Answer` converts
+  // to a Reply.
   template <typename Call>
-  void on(std::function<awaitable<typename Call::Answer>(Call)> answer) {
-    calls_.push_back({Call::method, Call::path,
-                      [answer](std::string_view argument, std::string_view body) -> awaitable<Reply> {
-                        std::optional<Call> call = Call::read(argument, body);
-                        if (!call) co_return Reply{400, R"({"fault":"this call can't be read"})", {}};
-                        typename Call::Answer said = co_await answer(std::move(*call));
-                        co_return Reply(said);
-                      }});
+  void handle(std::function<awaitable<typename Call::Answer>(Call)> handler) {
+    handlers_.push_back({Call::method, Call::path,
+                         [handler](std::string_view argument, std::string_view body) -> awaitable<Reply> {
+                           std::optional<Call> call = Call::read(argument, body);
+                           if (!call) co_return Reply{400, R"({"fault":"this call can't be read"})", {}};
+                           typename Call::Answer answer = co_await handler(std::move(*call));
+                           co_return Reply(answer);
+                         }});
   }
-  // Throws std::runtime_error if the address can't be had.
+  // Throws std::runtime_error if the address cannot be bound.
   void listen(tcp::endpoint at);
+  // Starts to accept connections.
   void run();
 
  private:
-  struct Entry {
+  struct Handler {
     std::string_view method, path;
-    std::function<awaitable<Reply>(std::string_view, std::string_view)> answer;
+    std::function<awaitable<Reply>(std::string_view argument, std::string_view body)> invoke;
   };
-  awaitable<void> serve(std::shared_ptr<Connection> c);
-  awaitable<Reply> reply(const codec::Message& m);
+
+  awaitable<void> serve(std::shared_ptr<Connection> connection);
+  // The reply to a request that has been read completely.
+  awaitable<Reply> reply_within_limits(std::shared_ptr<Connection> connection);
+  awaitable<Reply> dispatch(const codec::Message& request);
+
   asio::io_context& io_;
   Sockets& sockets_;
-  codec::Limits limits_;
-  const Bounds bounds_;
-  std::size_t waiting_ = 0;
+  codec::Limits message_limits_;
+  const ServerLimits limits_;
+  std::size_t pending_calls_ = 0;
   tcp::acceptor acceptor_;
-  std::vector<Entry> calls_;
+  std::vector<Handler> handlers_;
 };
 
 }  // namespace robinpin::rpc
--- a/tests/mesh/configuration_test.cpp
+++ b/tests/mesh/configuration_test.cpp
@@ -384,13 +384,13 @@
   const auto write = [&](const std::string& text) { std::ofstream(path, std::ios::trunc) << text; };
   bootstrap::Settings held =
       bootstrap::parse_settings(settings_text(), bootstrap::MachineKind::server).value();
-  app::SettingsWatcher lookout(path, false);
+  app::SettingsWatcher watcher(path, bootstrap::MachineKind::server);
   std::int64_t now = 0;
   const std::string none = "no news", taken = "taken on";
-  const auto look = [&](bool signalled = false, std::int64_t later = app::SettingsWatcher::every) {
+  const auto look = [&](bool signalled = false, std::int64_t later = app::SettingsWatcher::poll_interval) {
     std::string got = none;
     const std::string why = trouble_of<void>([&]() -> storage::result<void> {
-      BOOST_LEAF_AUTO(next, lookout.look(now += later, signalled, held));
+      BOOST_LEAF_AUTO(next, watcher.poll(now += later, signalled, held));
       if (next) held = *next, got = taken;
       return {};
     });
@@ -404,7 +404,7 @@
   CHECK(look() == none);  // as at the start
   CHECK(look(true) == taken);
   write(settings_text({{"1500ms", "1s"}}));
-  CHECK(look(false, app::SettingsWatcher::every - 1) == none);  // it is not time yet
+  CHECK(look(false, app::SettingsWatcher::poll_interval - 1) == none);  // it is not time yet
   CHECK(look() == taken && held.heartbeat_period == 1'000'000);
   CHECK(look() == none);
   write(half);
--- a/tests/mesh/mesh_processes.h
+++ b/tests/mesh/mesh_processes.h
@@ -1,5 +1,6 @@
-// What stands beside a core of real processes (processes.h) in a whole mesh: `robinpin sidecar` sidecars, each
-// with an application server that runs in the test itself, so that the test sees every request that arrives.
+// What stands beside a core of real processes (processes.h) in a whole mesh: `robinpin sidecar` sidecars,
+// each with an application server that runs in the test itself, so that the test sees every request that
+// arrives.
 #pragma once
 
 #include <set>
--- a/tests/mesh/rpc_test.cpp
+++ b/tests/mesh/rpc_test.cpp
@@ -33,9 +33,9 @@
 };
 
 struct Office {
-  explicit Office(rpc::Bounds bounds = {}, codec::Limits limits = {2'000, 4'000})
-      : sockets(100), calls(io, sockets, limits, bounds) {
-    calls.on<Slow>([this](Slow s) -> awaitable<rpc::Reply> {
+  explicit Office(rpc::ServerLimits server_limits = {}, codec::Limits limits = {2'000, 4'000})
+      : sockets(100), calls(io, sockets, limits, server_limits) {
+    calls.handle<Slow>([this](Slow s) -> awaitable<rpc::Reply> {
       ++begun;
       if (s.what == "fails") throw std::runtime_error("no memory");
       while (s.what != "now" && s.what != "no" && !let.contains(s.what)) {
@@ -45,7 +45,7 @@
       }
       co_return rpc::Reply{s.what == "no" ? 503 : 200, "<" + s.what + ">", {}};
     });
-    calls.on<rpc::Evacuation<true>>([](rpc::Evacuation<true> e) -> awaitable<rpc::Reply> {
+    calls.handle<rpc::Evacuation<true>>([](rpc::Evacuation<true> e) -> awaitable<rpc::Reply> {
       co_return rpc::Reply{409, "<" + e.zone + ">", {}};
     });
     for (std::uint16_t port = 24'010; at.port() == 0 && port < 24'100; ++port) try {
@@ -63,7 +63,7 @@
   }
   asio::io_context io;
   node::Sockets sockets;
-  rpc::Port calls;
+  rpc::Server calls;
   tcp::endpoint at;
   std::set<std::string> let;
   int begun = 0;
@@ -226,7 +226,7 @@
 // What lay in the sockets of a process that stood still: an evacuation so begun would come after it was taken
 // back elsewhere.
 TEST(Rpc, a_call_whose_caller_has_gone_elsewhere_before_it_is_read_is_not_begun) {
-  Office o({.for_who_waits = true});
+  Office o({.only_for_connected_callers = true});
   {
     Caller gone(o);
     gone.get("now");
@@ -238,7 +238,7 @@
 }
 
 TEST(Rpc, a_call_that_waits_too_long_ends_with_its_connection_and_its_answer_reaches_nobody) {
-  Office o({.most_waiting = 128, .wait = 50ms});
+  Office o({.max_pending_calls = 128, .call_timeout = 50ms});
   Caller c(o);
   c.get("a"), c.get("now");
   CHECK(c.ends());
@@ -252,7 +252,7 @@
 }
 
 TEST(Rpc, no_more_than_so_many_calls_wait_at_once) {
-  Office o({.most_waiting = 2, .wait = 3s});
+  Office o({.max_pending_calls = 2, .call_timeout = 3s});
   Caller a(o), b(o), c(o);
   a.get("a"), b.get("b");
   CHECK(o.until([&] { return o.begun == 2; }));
