--- a/src/admission/admission_controller.cpp
+++ b/src/admission/admission_controller.cpp
@@ -132,12 +132,13 @@
 }
 
 // Whether the streamed bodies under way and this one would occupy the link for too long: for this request to
-// be in time, or for those with the shortest deadline, which come over the same link.
+// be in time, or for those with the shortest deadline, which come over the same link. The server's own time
+// occupies nothing of the link.
 bool AdmissionController::link_overloaded(const Limits& limits, const RequestInfo& request) const {
   const double bytes = expected_bytes_ + request.body_bytes;
   const double transfer_time = bytes / (streamed_fraction * limits.link_bytes_per_s) * second;
-  const double limit = std::min(max_transfer_time(request), max_beside_shortest(limits, request));
-  return transfer_time + service_time_ > limit;
+  if (transfer_time > max_beside_shortest(limits, request)) return true;
+  return transfer_time + service_time_ > max_transfer_time(request);
 }
 
 // Until it is written an admitted request counts for every second: a busy process writes late, and what it
--- a/tests/mesh/admission_test.cpp
+++ b/tests/mesh/admission_test.cpp
@@ -221,6 +221,17 @@
   CHECK(RejectReason::none == g.check(1, "a", b, shortest));  // they have until their own aim
 }
 
+TEST(Admission, the_servers_own_time_takes_up_nothing_of_the_link_beside_the_shortest_deadline) {
+  AdmissionController g;
+  g.on_heartbeat(0, server("a", 6), 0);
+  for (int i = 0; i < 40; ++i) g.on_admitted(false), g.on_written(i, false), g.on_finished(i, 0, 300 * ms);
+  AdmissionController::Limits b;
+  b.link_bytes_per_s = 6e6, b.shortest_deadline = 600 * ms;
+  const AdmissionController::RequestInfo upload = {10 * second, 1'500 * ms, 10 * second, true, 300'000};
+  g.on_admitted(true), g.add_expected_bytes(upload.body_bytes);
+  CHECK(RejectReason::none == g.check(1, "a", b, upload));  // 0.12 s on the link, of 0.24
+}
+
 TEST(Admission, an_upload_cut_off_on_its_way_counts_for_its_second_at_a_cold_server) {
   AdmissionController g;
   g.on_heartbeat(0, server("a", 1), 60 * second);
